--- /dev/null
+++ b/tests/characterization/test_decisions.py
@@ -0,0 +1,88 @@
+"""Slow start, membership, affinity and migration in simulated time: the recorded events and actions, by seed."""
+
+from __future__ import annotations
+
+import unittest
+from typing import Any
+
+from benchmarks.simulated import Size, cold, members, moves, seats
+from standins.simulated_cold import Process
+from tests.characterization.recording import Recorder, compare
+from thymeyoke.affinity import decide as affinity
+from thymeyoke.coldstart.budget import Budget
+from thymeyoke.coldstart.decide import ColdStart
+from thymeyoke.coldstart.pace import Pace
+from thymeyoke.coldstart.waits import Waits
+from thymeyoke.members import decide as membership
+from thymeyoke.members.news import Noted
+from thymeyoke.moves import decide as migration
+
+SMALL = Size(seed=7, servers=6, nodes=3, tenants=12, customers=60)
+FEW = Size(seed=7, servers=5, nodes=3, tenants=8, customers=20)
+
+# Per class, the stable code of each public method; renamed methods keep their code.
+SLOW_START = {
+    ColdStart: {"begin": "begin", "goes": "is_due", "sent": "sent", "listed": "listed", "unheard": "failed",
+                "may_repeat": "may_retry", "called": "call", "look": "look", "stalled": "stalled"},
+    Pace: {"has": "has", "spend": "spend", "when": "when", "stalled": "stalled", "stood": "stood",
+           "moved": "moved", "sound": "sound"},
+    Waits: {"drop": "drop", "when": "when"},
+    Budget: {"won": "won", "has": "has", "take": "take", "when": "when"},
+}  # fmt: skip
+MEMBERSHIP = {"say": "announce", "leave": "leave", "heard": "message", "change": "change", "refused": "refused",
+              "begin": "begin", "settle": "actions", "next": "next", "view": "view"}  # fmt: skip
+AFFINITY = {"seat": "assign", "opened": "opened", "closed": "closed", "failed": "failed", "saw": "view",
+            "woke": "woke", "heard": "message", "leave": "leave", "settle": "actions", "next": "next"}  # fmt: skip
+MIGRATION = {"change": "change", "saw": "view", "settle": "actions", "next": "next", "part": "part",
+             "shown": "shown"}  # fmt: skip
+CODES: dict[type, str | None] = {
+    membership.Probe: "probe", membership.Relay: "relay", Noted: None,
+    affinity.Tell: "send", affinity.Ready: "ready", affinity.Handed: "handover", affinity.Note: None,
+    migration.Full: "preferred", migration.Less: "depreferred", migration.Withdrawn: "withdrawn",
+}  # fmt: skip
+
+
+class Decisions(unittest.TestCase):
+    def recorded(self, name: str, play: Any, *watched: tuple[type, dict[str, str]]) -> None:
+        recorder = Recorder(CODES)
+        managers = [recorder.watching(kind, methods) for kind, methods in watched]
+        for manager in managers:
+            manager.__enter__()
+        try:
+            play()
+        finally:
+            for manager in reversed(managers):
+                manager.__exit__(None, None, None)
+        compare(self, name, recorder.lines)
+
+    def test_slow_start(self) -> None:
+        for play in ("born-at-once", "list-hangs", "store-back", "store-half"):
+            with self.subTest(play):
+                self.recorded(
+                    f"slow_start/{play}", lambda play=play: cold(play, FEW, Process), *SLOW_START.items()
+                )
+
+    def test_membership(self) -> None:
+        size = Size(seed=7, servers=7, nodes=3, tenants=4, customers=1)
+        self.recorded(
+            "membership/all", lambda: members("members", size), (membership.Membership, MEMBERSHIP)
+        )
+
+    def test_affinity(self) -> None:
+        for play in ("tenth-joins", "node-back", "node-leaves", "overlapping"):
+            with self.subTest(play):
+                self.recorded(
+                    f"affinity/{play}", lambda play=play: seats(play, SMALL, coded=True),
+                    (affinity.Seats, AFFINITY),
+                )  # fmt: skip
+
+    def test_migration(self) -> None:
+        for play in ("moves-heavy", "moves-trouble"):
+            with self.subTest(play):
+                self.recorded(
+                    f"migration/{play}", lambda play=play: moves(play, FEW), (migration.Mover, MIGRATION)
+                )
+
+
+if __name__ == "__main__":
+    unittest.main()
