--- a/Makefile
+++ b/Makefile
@@ -8,7 +8,7 @@
 TOGETHER ?= 4
 # Decisions, stores and simulated time: no clock, socket or wait of theirs; all at once they disturb nobody.
 PURE := $(wildcard $(patsubst %,tests/test_%.py,affinity announce_decide announce_session announce_wire ledger \
-	moves simulated) $(patsubst %,tests/conformance/test_%.py,design pages))
+	moves simulated) $(patsubst %,tests/conformance/test_%.py,design pages) tests/characterization/test_*.py)
 ALONE := tests/drills/test_coldstart.py
 # The longest first.
 SOCKETS := $(filter-out $(PURE) $(ALONE),$(sort $(wildcard tests/drills/test_*.py)) \
@@ -26,7 +26,9 @@
 	.venv/bin/python -m examples.toy try
 
 test: .venv/ready
+	.venv/bin/ruff format --check .
 	.venv/bin/ruff check .
+	.venv/bin/mypy
 	printf '%s\n' $(PURE) | xargs -P 8 -n 1 $(EACH)
 	printf '%s\n' $(SOCKETS) | xargs -P $(TOGETHER) -n 1 $(EACH)
 	printf '%s\n' $(ALONE) | xargs -n 1 $(EACH)
--- a/standins/below.py
+++ b/standins/below.py
@@ -130,9 +130,7 @@
         self.tasks, self.shuts = tasks, self.shuts - 1
         if self.shuts:
             return
-        listener = await anyio.create_tcp_listener(
-            local_host="127.0.0.1", local_port=self.port, backlog=1024
-        )
+        listener = await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=self.port, backlog=1024)
         self.scope = anyio.CancelScope()
 
         async def serve() -> None:
--- a/standins/customers.py
+++ b/standins/customers.py
@@ -243,7 +243,8 @@
         self.fates[done.fate] += 1
         if done.fate not in ("acked", "left"):
             self.drill.timeline.say(
-                "op", fate=done.fate, customer=source(done.customer), node=done.node, took=done.took)
+                "op", fate=done.fate, customer=source(done.customer), node=done.node, took=done.took
+            )
         if done.server:
             before, seen = self.last.get(done.customer, done.server), self.seen.get(done.customer, done.at)
             by = self.by.get(done.customer, (done.node, done.came))
--- a/standins/processes.py
+++ b/standins/processes.py
@@ -486,9 +486,7 @@
         assert self.peer is not None
         ids = {bytes(map(int, one.id.split("."))): one.name for one in self.nodes}
         wanted = bytes(map(int, self.address(tenant).split(".")))
-        return {
-            ids[who]: full for (who, nlri), full in self.peer.routes().items() if nlri.net == wanted
-        }
+        return {ids[who]: full for (who, nlri), full in self.peer.routes().items() if nlri.net == wanted}
 
     # The end.
 
@@ -502,7 +500,7 @@
     def starved(self) -> float:
         """The share of the drill's time for which a process waited for a core, the mean of those that waited
         longest: as many as there were at once."""
-        most = sorted(self.waited.values())[-len(self.all):]
+        most = sorted(self.waited.values())[-len(self.all) :]
         return sum(most) / len(most) / (time.time() - self.begun) if most else 0.0
 
     def down(self) -> None:
--- a/tests/characterization/recording.py
+++ b/tests/characterization/recording.py
@@ -28,7 +28,7 @@
     """
     code = codes.get(type(value), "")
     prefix = [code] if code else []
-    if value is None or isinstance(value, str | bool) and not isinstance(value, Enum):
+    if value is None or (isinstance(value, str | bool) and not isinstance(value, Enum)):
         return value
     if isinstance(value, Enum):
         return list(type(value)).index(value) if isinstance(value.value, str) else value.value
@@ -61,7 +61,9 @@
     @contextmanager
     def watching(self, kind: type, methods: Mapping[str, str]) -> Iterator[None]:
         """`methods`: the code of each method that is recorded, by its name."""
-        with mock.patch.multiple(kind, **{name: self._wrap(kind, name, code) for name, code in methods.items()}):
+        with mock.patch.multiple(
+            kind, **{name: self._wrap(kind, name, code) for name, code in methods.items()}
+        ):
             yield
 
     def _wrap(self, kind: type, name: str, code: str) -> Callable[..., Any]:
--- a/tests/characterization/test_admission.py
+++ b/tests/characterization/test_admission.py
@@ -17,26 +17,64 @@
 
 BASE: dict[str, Any] = {
     "request_classes": [
-        {"name": "look", "aim_us": 400_000, "deadline_us": 1_500_000, "effect": "retryable", "worth": 1.0,
-         "late_worth": 0.2},
-        {"name": "buy", "aim_us": 800_000, "deadline_us": 2_500_000, "effect": "dedup", "worth": 3.0,
-         "late_worth": 0.0, "memory_span_us": 4_000_000},
-        {"name": "post", "aim_us": 600_000, "deadline_us": 2_000_000, "effect": "fragile", "worth": 2.0,
-         "late_worth": 0.5, "aim_stretch": 1.5},
+        {
+            "name": "look",
+            "aim_us": 400_000,
+            "deadline_us": 1_500_000,
+            "effect": "retryable",
+            "worth": 1.0,
+            "late_worth": 0.2,
+        },
+        {
+            "name": "buy",
+            "aim_us": 800_000,
+            "deadline_us": 2_500_000,
+            "effect": "dedup",
+            "worth": 3.0,
+            "late_worth": 0.0,
+            "memory_span_us": 4_000_000,
+        },
+        {
+            "name": "post",
+            "aim_us": 600_000,
+            "deadline_us": 2_000_000,
+            "effect": "fragile",
+            "worth": 2.0,
+            "late_worth": 0.5,
+            "aim_stretch": 1.5,
+        },
     ],
     "family_info": {
-        "cpus": 2, "memory_kb": 4000.0, "run_factor": 3.0, "kb_per_key": 4.0, "halt": "freeze",
+        "cpus": 2,
+        "memory_kb": 4000.0,
+        "run_factor": 3.0,
+        "kb_per_key": 4.0,
+        "halt": "freeze",
         "gauges": ["cpu_busy", "runnable", "mem_used", "sockets"],
-        "below": "one_for_all", "fair_calls": 6.0, "calls_over_us": 5_000_000, "linger_us": 200_000,
-        "class_calls": [True, True, False], "worth_without": [0.5, 0.0, 0.0],
-        "callers": 6, "signal": "floor", "heeded_us": 1_000_000, "idle_us": 30_000_000, "cold": True,
+        "below": "one_for_all",
+        "fair_calls": 6.0,
+        "calls_over_us": 5_000_000,
+        "linger_us": 200_000,
+        "class_calls": [True, True, False],
+        "worth_without": [0.5, 0.0, 0.0],
+        "callers": 6,
+        "signal": "floor",
+        "heeded_us": 1_000_000,
+        "idle_us": 30_000_000,
+        "cold": True,
+    },
+    "contract": {
+        "answer_slack_us": 60_000,
+        "drain_grace_us": 500_000,
+        "fall_multiple": 8.0,
+        "fall_us": 1_500_000,
+        "cold_share": 0.5,
+        "cold_us": 4_000_000,
     },
-    "contract": {"answer_slack_us": 60_000, "drain_grace_us": 500_000, "fall_multiple": 8.0,
-                 "fall_us": 1_500_000, "cold_share": 0.5, "cold_us": 4_000_000},
     "caps": {"retry_after": True, "max_retry_after_us": 1_000_000},
     "clients": {"marks_retry": False},
     "tick_us": 4_000,
-}  # fmt: skip
+}
 
 
 def variant(**changes: Any) -> dict[str, Any]:
@@ -79,13 +117,15 @@
 SCENARIOS: dict[str, tuple[int, dict[str, Any], Callable[[Platform], None]]] = {
     "floor": (1, BASE, by_turns),
     "allowance_tenants": (
-        2, variant(signal="allowance", tenants=TENANTS, halt="discard", clients={"marks_retry": True}), by_turns,
+        2,
+        variant(signal="allowance", tenants=TENANTS, halt="discard", clients={"marks_retry": True}),
+        by_turns,
     ),
     "weight_tier": (3, variant(signal="weight", below="tier", fresh_for_us=300_000, cold=False), by_turns),
     "alone": (4, variant(signal="silent", below="silent", halt="silent", class_calls=[False] * 3), by_turns),
     "few_calls": (5, variant(fair_calls=0.6, gauges=["cpu_busy"], cpus=8), by_turns),
     "memory": (6, variant(memory_kb=700.0, caps={}, tick_us=0), short_of_memory),
-}  # fmt: skip
+}
 
 
 def exchange(sent: list[bytes], received: list[bytes]) -> Callable[[list[list[Any]]], list[list[Any]]]:
--- a/tests/characterization/test_codecs.py
+++ b/tests/characterization/test_codecs.py
@@ -17,34 +17,66 @@
 from benchmarks.simulated import Size, members, moves, seats
 from tests.characterization.recording import compare, plain
 from thymeyoke.affinity import wire as affinity_wire
-from thymeyoke.announce import attributes, wire as bgp
+from thymeyoke.announce import attributes
+from thymeyoke.announce import wire as bgp
 from thymeyoke.ledger import wire as ledger
 from thymeyoke.ledger.entries import Amounts, Kind, Line
 from thymeyoke.members import wire as membership_wire
 from thymeyoke.moves import wire as migration_wire
 from thymeyoke.net import database, mail, processor, roster, rpc
-from thymeyoke.port.facts import Outcome
 from thymeyoke.start import Address, Names
 
 CODES: dict[type, str | None] = {
-    rpc.Ask: "request", rpc.Check: "check", rpc.Cancel: "cancel", rpc.Unclear: "unclear",
-    mail.Up: "up", mail.Ended: "ended", mail.Asked: "call", mail.Synced: "synced", mail.Gauges: "gauges",
+    rpc.Ask: "request",
+    rpc.Check: "check",
+    rpc.Cancel: "cancel",
+    rpc.Unclear: "unclear",
+    mail.Up: "up",
+    mail.Ended: "ended",
+    mail.Asked: "call",
+    mail.Synced: "synced",
+    mail.Gauges: "gauges",
     mail.Refused: "refused",
-    mail.Begin: "begin", mail.Interrupt: "interrupt", mail.TakeUp: "resume", mail.Without: "without",
-    mail.Reply: "reply", mail.Gauge: "gauge",
-    bgp.Open: "open", bgp.Update: "update", bgp.Notification: "notification", bgp.Keepalive: "keepalive",
+    mail.Begin: "begin",
+    mail.Interrupt: "interrupt",
+    mail.TakeUp: "resume",
+    mail.Without: "without",
+    mail.Reply: "reply",
+    mail.Gauge: "gauge",
+    bgp.Open: "open",
+    bgp.Update: "update",
+    bgp.Notification: "notification",
+    bgp.Keepalive: "keepalive",
     bgp.Refresh: "refresh",
-    ledger.Hello: "hello", ledger.Welcome: "welcome", ledger.Batch: "batch", ledger.Taken: "taken",
+    ledger.Hello: "hello",
+    ledger.Welcome: "welcome",
+    ledger.Batch: "batch",
+    ledger.Taken: "taken",
     ledger.Refused: "refused",
-}  # fmt: skip
-COMMANDS = {mail.Begin: "begin", mail.Interrupt: "interrupt", mail.TakeUp: "resume", mail.Without: "without",
-            mail.Reply: "reply", mail.Gauge: "gauge"}  # fmt: skip
+}
+COMMANDS = {
+    mail.Begin: "begin",
+    mail.Interrupt: "interrupt",
+    mail.TakeUp: "resume",
+    mail.Without: "without",
+    mail.Reply: "reply",
+    mail.Gauge: "gauge",
+}
 NAMES = Names({"look": 0, "buy": 1}, {"north": 0, "south": 1})
 FIELDS = {
-    "since": "1000000", "allow": "250", "room": "24.5", "class_rank": "0.625", "sender": "7",
-    "ref": "91f03b7c55d20a64", "project": "south", "replay": "k1", "lookup": "user-1", "effort": "12.5",
-    "dup": "1", "unheard": "of",
-}  # fmt: skip
+    "since": "1000000",
+    "allow": "250",
+    "room": "24.5",
+    "class_rank": "0.625",
+    "sender": "7",
+    "ref": "91f03b7c55d20a64",
+    "project": "south",
+    "replay": "k1",
+    "lookup": "user-1",
+    "effort": "12.5",
+    "dup": "1",
+    "unheard": "of",
+}
 MOST = 400  # recorded calls of one codec function
 
 
@@ -74,17 +106,38 @@
             return {name: text for name, text in (FIELDS | other).items() if name not in names}
 
         asks = [
-            FIELDS, without("allow", "effort", "dup", "replay", "lookup"), without("project"), without("ref"),
-            without(ref="short"), without(since="-1"), without(room="0"), without(class_rank="1"),
-            without(dup="0"), without(dup=""), without(replay=""), without(effort="x"), without(allow="0"),
-            without(project="west"), without(sender="1_0"),
-        ]  # fmt: skip
+            FIELDS,
+            without("allow", "effort", "dup", "replay", "lookup"),
+            without("project"),
+            without("ref"),
+            without(ref="short"),
+            without(since="-1"),
+            without(room="0"),
+            without(class_rank="1"),
+            without(dup="0"),
+            without(dup=""),
+            without(replay=""),
+            without(effort="x"),
+            without(allow="0"),
+            without(project="west"),
+            without(sender="1_0"),
+        ]
         frames: list[Any] = [[0, 5, "buy", [ask, b"body"]] for ask in asks]
         frames += [
-            [0, 6, "look", [FIELDS, b""]], [0, 6, "sell", [FIELDS, b""]], [0, 7, "alive", [{}]],
-            [0, 8, "look", [{}]], [0, 8, "look", []], [2, "cancelRequest", [9]], [2, "cancelRequest", ["9"]],
-            [1, 2, None, None], [0, True, "alive", [{}]], [0, -1, "alive", [{}]], "text", 7, [],
-        ]  # fmt: skip
+            [0, 6, "look", [FIELDS, b""]],
+            [0, 6, "sell", [FIELDS, b""]],
+            [0, 7, "alive", [{}]],
+            [0, 8, "look", [{}]],
+            [0, 8, "look", []],
+            [2, "cancelRequest", [9]],
+            [2, "cancelRequest", ["9"]],
+            [1, 2, None, None],
+            [0, True, "alive", [{}]],
+            [0, -1, "alive", [{}]],
+            "text",
+            7,
+            [],
+        ]
         found = []
         for frame in frames:
             data = msgpack.packb(frame)
@@ -96,7 +149,9 @@
         # An unclear request is told by its number; the reason is a text for people.
         for row in found:
             if row[1] and isinstance(row[1], list):
-                row[1] = [one[:2] if one[0] == "unclear" else one for one in row[1] if isinstance(one, list)] or row[1]
+                row[1] = [
+                    one[:2] if one[0] == "unclear" else one for one in row[1] if isinstance(one, list)
+                ] or row[1]
         compare(self, "codecs/router_reading", lines(found))
 
     def test_writing(self) -> None:
@@ -117,28 +172,44 @@
 class ProcessorWire(unittest.TestCase):
     def test_writing(self) -> None:
         commands: list[Any] = [
-            mail.Begin("a1", 1, b"\0body"), mail.Reply("a1", b"rows"), mail.Interrupt("a1"), mail.TakeUp("a1"),
-            mail.Without("a1"), mail.Gauge(), processor.Sync(3),
-        ]  # fmt: skip
+            mail.Begin("a1", 1, b"\0body"),
+            mail.Reply("a1", b"rows"),
+            mail.Interrupt("a1"),
+            mail.TakeUp("a1"),
+            mail.Without("a1"),
+            mail.Gauge(),
+            processor.Sync(3),
+        ]
         found = [processor.encode(command, ["look", "buy"]) for command in commands]
         compare(self, "codecs/processor_writing", [line.rstrip(b"\n") for line in found])
 
     def test_reading(self) -> None:
         said: list[Any] = [
-            {"event": "hi", "fate": "COLD", "lasted": 250}, {"event": "hi", "fate": "WARM", "lasted": 0},
+            {"event": "hi", "fate": "COLD", "lasted": 250},
+            {"event": "hi", "fate": "WARM", "lasted": 0},
             {"event": "complete", "handle": "a1", "fate": "OK", "arg": "cm93cw==", "lasted": 12, "cursor": 4},
             {"event": "complete", "handle": "a1", "fate": "ERROR", "cursor": "5"},
             {"event": "complete", "handle": "a1", "fate": "STOPPED"},
             {"event": "complete", "handle": "a1", "fate": "MOOT"},
             {"event": "complete", "handle": "a1", "fate": "WHAT"},
             {"event": "complete", "handle": "a1", "fate": "OK", "arg": "*"},
-            {"event": "ask", "handle": "a1", "arg": "Ym9keQ==", "cursor": 6}, {"event": "ask", "handle": "a1"},
-            {"event": "used", "ticket": "sync3"}, {"event": "used", "ticket": "sync2", "figures": [1]},
-            {"event": "used", "ticket": "gauges", "figures": [0.5, 3]}, {"event": "used", "ticket": "gauges"},
-            *({"event": "reject", "handle": "a1", "fate": name}
-              for name in ("begin", "interrupt", "goon", "without", "answer", "usage", "dance")),
-            {"event": "reject"}, {"event": "remark", "cursor": 9}, {"event": "dance"}, {"cursor": 1}, [], 7,
-        ]  # fmt: skip
+            {"event": "ask", "handle": "a1", "arg": "Ym9keQ==", "cursor": 6},
+            {"event": "ask", "handle": "a1"},
+            {"event": "used", "ticket": "sync3"},
+            {"event": "used", "ticket": "sync2", "figures": [1]},
+            {"event": "used", "ticket": "gauges", "figures": [0.5, 3]},
+            {"event": "used", "ticket": "gauges"},
+            *(
+                {"event": "reject", "handle": "a1", "fate": name}
+                for name in ("begin", "interrupt", "goon", "without", "answer", "usage", "dance")
+            ),
+            {"event": "reject"},
+            {"event": "remark", "cursor": 9},
+            {"event": "dance"},
+            {"cursor": 1},
+            [],
+            7,
+        ]
         found = []
         for one in said:
             data = orjson.dumps(one)
@@ -153,16 +224,29 @@
 
 class DatabaseWire(unittest.TestCase):
     def test_writing(self) -> None:
-        for_now = [database.encode(mail.Call("a1", 10.0 + span, b"q\r\n"), 10.0) for span in (0.0, 0.0012, 2.5)]
+        for_now = [
+            database.encode(mail.Call("a1", 10.0 + span, b"q\r\n"), 10.0) for span in (0.0, 0.0012, 2.5)
+        ]
         found = [*for_now, database.encode(mail.GiveUp("a1"), 10.0)]
         compare(self, "codecs/database_writing", [data.hex().encode() for data in found])
 
     def test_reading(self) -> None:
         cases = [
-            b"a1 ROWS 4\r\nrows\r\n", b"a1 ROWS 0\r\n\r\n", b"a1 ROWS\r\n", b"a1 FULL\r\na2 FAIL\r\n",
-            b"a1 TIMEOUT\r\na1 NONE\r\n", b"a1 WHAT\r\n", b"a1 ROWS 4\r\nro", b"a1 RO", b"a1 ROWS 4\r\nrowsxx",
-            b"a1 ROWS x\r\n", b"a1 ROWS 4 4\r\nrows\r\n", b"a1 ROWS 70000\r\n", b"x" * 300, b"\xff ROWS\r\n",
-        ]  # fmt: skip
+            b"a1 ROWS 4\r\nrows\r\n",
+            b"a1 ROWS 0\r\n\r\n",
+            b"a1 ROWS\r\n",
+            b"a1 FULL\r\na2 FAIL\r\n",
+            b"a1 TIMEOUT\r\na1 NONE\r\n",
+            b"a1 WHAT\r\n",
+            b"a1 ROWS 4\r\nro",
+            b"a1 RO",
+            b"a1 ROWS 4\r\nrowsxx",
+            b"a1 ROWS x\r\n",
+            b"a1 ROWS 4 4\r\nrows\r\n",
+            b"a1 ROWS 70000\r\n",
+            b"x" * 300,
+            b"\xff ROWS\r\n",
+        ]
         found = []
         for data in cases:
             reader = database.Reader()
@@ -207,9 +291,10 @@
 
     def messages(self) -> list[Any]:
         capabilities = (
-            bgp.Capability(1, b"\0\1\0\1"), bgp.Capability(65, (70000).to_bytes(4, "big")),
+            bgp.Capability(1, b"\0\1\0\1"),
+            bgp.Capability(65, (70000).to_bytes(4, "big")),
             bgp.Capability(69, b"\0\1\1\3"),
-        )  # fmt: skip
+        )
         net4, net6 = bytes((198, 51, 100, 7)), bytes.fromhex("20010db8") + bytes(11) + b"\7"
         routes = [
             attributes.Route(as_, b"\xc0\0\2\1", internal, hop, less, 1000, 3)
@@ -219,16 +304,23 @@
             for less in ((), ("med",), ("graceful_shutdown", "prepend"))
         ]
         told: list[Any] = [
-            bgp.Open(23456, 90, b"\xc0\0\2\1", capabilities), bgp.Open(64512, 3, b"\xc0\0\2\1"),
+            bgp.Open(23456, 90, b"\xc0\0\2\1", capabilities),
+            bgp.Open(64512, 3, b"\xc0\0\2\1"),
             bgp.Open(64512, 3, b"\xc0\0\2\1", tuple(bgp.Capability(200, bytes(100)) for _ in range(3))),
-            bgp.Keepalive(), bgp.Refresh(bgp.IPV6, 1), bgp.Notification(6, 2, b"\3bye"),
-            bgp.shutdown("wartung " * 40), bgp.Update(),
-        ]  # fmt: skip
+            bgp.Keepalive(),
+            bgp.Refresh(bgp.IPV6, 1),
+            bgp.Notification(6, 2, b"\3bye"),
+            bgp.shutdown("wartung " * 40),
+            bgp.Update(),
+        ]
         for agreed in (bgp.Agreed(), self.agreed):
             for route in routes:
                 told.append(attributes.announcement(route, (bgp.Nlri(32, net4),), bgp.IPV4, agreed))
-            told.append(attributes.announcement(
-                routes[0]._replace(next_hop=net6), (bgp.Nlri(128, net6),), bgp.IPV6, agreed))  # fmt: skip
+            told.append(
+                attributes.announcement(
+                    routes[0]._replace(next_hop=net6), (bgp.Nlri(128, net6),), bgp.IPV6, agreed
+                )
+            )
         told.append(attributes.withdrawal((bgp.Nlri(32, net4), bgp.Nlri(24, net4)), bgp.IPV4))
         told.append(attributes.withdrawal((bgp.Nlri(128, net6),), bgp.IPV6))
         told.append(bgp.Update(nlri=(bgp.Nlri(32, net4, 9),)))
@@ -257,8 +349,9 @@
                     said = list(reader.feed(damaged))
                     heard = [
                         shown(attributes.understand(one, bgp.Agreed(), False))
-                        for one in said if isinstance(one, bgp.Update)
-                    ]  # fmt: skip
+                        for one in said
+                        if isinstance(one, bgp.Update)
+                    ]
                     found.append([shown(said), heard])
                 except bgp.Wrong as error:
                     found.append(["error", error.code, error.subcode, error.data.hex()])
@@ -275,9 +368,12 @@
         )
         body = ledger.body(ledger.Body(4, 17, 2, 1, 3, 60, rows))
         said: list[Any] = [
-            ledger.Hello("app-1", b"\1" * 16, 4), ledger.Welcome(b"\2" * 16, 3, b"\3" * 32),
-            ledger.Batch(4, b"\3" * 32, body), ledger.Taken(4, b"\4" * 32), ledger.Refused("a gap"),
-        ]  # fmt: skip
+            ledger.Hello("app-1", b"\1" * 16, 4),
+            ledger.Welcome(b"\2" * 16, 3, b"\3" * 32),
+            ledger.Batch(4, b"\3" * 32, body),
+            ledger.Taken(4, b"\4" * 32),
+            ledger.Refused("a gap"),
+        ]
         found: list[Any] = [[body.hex(), shown(ledger.read_body(body))], shown(said[2].hash)]
         for one in said:
             data = ledger.encode(one)
@@ -313,9 +409,11 @@
     def test_membership(self) -> None:
         size = Size(seed=7, servers=7, nodes=3, tenants=4, customers=1)
         self.played(
-            "codecs/membership", membership_wire, {"encode": False, "decode": True},
+            "codecs/membership",
+            membership_wire,
+            {"encode": False, "decode": True},
             lambda: members("members", size),
-        )  # fmt: skip
+        )
 
     def test_membership_frames(self) -> None:
         draw = random.Random(5)
@@ -332,16 +430,20 @@
     def test_affinity(self) -> None:
         size = Size(seed=7, servers=6, nodes=3, tenants=12, customers=60)
         self.played(
-            "codecs/affinity", affinity_wire, {"encode": False, "decode": True},
+            "codecs/affinity",
+            affinity_wire,
+            {"encode": False, "decode": True},
             lambda: seats("tenth-joins", size, coded=True),
-        )  # fmt: skip
+        )
 
     def test_migration(self) -> None:
         size = Size(seed=7, servers=5, nodes=3, tenants=8, customers=20)
         self.played(
-            "codecs/migration", migration_wire, {"pack": False, "read": True},
+            "codecs/migration",
+            migration_wire,
+            {"pack": False, "read": True},
             lambda: moves("moves-heavy", size),
-        )  # fmt: skip
+        )
 
 
 if __name__ == "__main__":
--- a/tests/characterization/test_decisions.py
+++ b/tests/characterization/test_decisions.py
@@ -1,4 +1,4 @@
-"""Slow start, membership, affinity and migration in simulated time: the recorded events and actions, by seed."""
+"""Slow start, membership, affinity and migration in simulated time: recorded events and actions, by seed."""
 
 from __future__ import annotations
 
@@ -22,24 +22,72 @@
 
 # Per class, the stable code of each public method; renamed methods keep their code.
 SLOW_START = {
-    ColdStart: {"begin": "begin", "goes": "is_due", "sent": "sent", "listed": "listed", "unheard": "failed",
-                "may_repeat": "may_retry", "called": "call", "look": "look", "stalled": "stalled"},
-    Pace: {"has": "has", "spend": "spend", "when": "when", "stalled": "stalled", "stood": "stood",
-           "moved": "moved", "sound": "sound"},
+    ColdStart: {
+        "begin": "begin",
+        "goes": "is_due",
+        "sent": "sent",
+        "listed": "listed",
+        "unheard": "failed",
+        "may_repeat": "may_retry",
+        "called": "call",
+        "look": "look",
+        "stalled": "stalled",
+    },
+    Pace: {
+        "has": "has",
+        "spend": "spend",
+        "when": "when",
+        "stalled": "stalled",
+        "stood": "stood",
+        "moved": "moved",
+        "sound": "sound",
+    },
     Waits: {"drop": "drop", "when": "when"},
     Budget: {"won": "won", "has": "has", "take": "take", "when": "when"},
-}  # fmt: skip
-MEMBERSHIP = {"say": "announce", "leave": "leave", "heard": "message", "change": "change", "refused": "refused",
-              "begin": "begin", "settle": "actions", "next": "next", "view": "view"}  # fmt: skip
-AFFINITY = {"seat": "assign", "opened": "opened", "closed": "closed", "failed": "failed", "saw": "view",
-            "woke": "woke", "heard": "message", "leave": "leave", "settle": "actions", "next": "next"}  # fmt: skip
-MIGRATION = {"change": "change", "saw": "view", "settle": "actions", "next": "next", "part": "part",
-             "shown": "shown"}  # fmt: skip
+}
+MEMBERSHIP = {
+    "say": "announce",
+    "leave": "leave",
+    "heard": "message",
+    "change": "change",
+    "refused": "refused",
+    "begin": "begin",
+    "settle": "actions",
+    "next": "next",
+    "view": "view",
+}
+AFFINITY = {
+    "seat": "assign",
+    "opened": "opened",
+    "closed": "closed",
+    "failed": "failed",
+    "saw": "view",
+    "woke": "woke",
+    "heard": "message",
+    "leave": "leave",
+    "settle": "actions",
+    "next": "next",
+}
+MIGRATION = {
+    "change": "change",
+    "saw": "view",
+    "settle": "actions",
+    "next": "next",
+    "part": "part",
+    "shown": "shown",
+}
 CODES: dict[type, str | None] = {
-    membership.Probe: "probe", membership.Relay: "relay", Noted: None,
-    affinity.Tell: "send", affinity.Ready: "ready", affinity.Handed: "handover", affinity.Note: None,
-    migration.Full: "preferred", migration.Less: "depreferred", migration.Withdrawn: "withdrawn",
-}  # fmt: skip
+    membership.Probe: "probe",
+    membership.Relay: "relay",
+    Noted: None,
+    affinity.Tell: "send",
+    affinity.Ready: "ready",
+    affinity.Handed: "handover",
+    affinity.Note: None,
+    migration.Full: "preferred",
+    migration.Less: "depreferred",
+    migration.Withdrawn: "withdrawn",
+}
 
 
 class Decisions(unittest.TestCase):
@@ -64,17 +112,16 @@
 
     def test_membership(self) -> None:
         size = Size(seed=7, servers=7, nodes=3, tenants=4, customers=1)
-        self.recorded(
-            "membership/all", lambda: members("members", size), (membership.Membership, MEMBERSHIP)
-        )
+        self.recorded("membership/all", lambda: members("members", size), (membership.Membership, MEMBERSHIP))
 
     def test_affinity(self) -> None:
         for play in ("tenth-joins", "node-back", "node-leaves", "overlapping"):
             with self.subTest(play):
                 self.recorded(
-                    f"affinity/{play}", lambda play=play: seats(play, SMALL, coded=True),
+                    f"affinity/{play}",
+                    lambda play=play: seats(play, SMALL, coded=True),
                     (affinity.Seats, AFFINITY),
-                )  # fmt: skip
+                )
 
     def test_migration(self) -> None:
         for play in ("moves-heavy", "moves-trouble"):
--- a/tests/characterization/test_files.py
+++ b/tests/characterization/test_files.py
@@ -34,7 +34,11 @@
 class Configuration(unittest.TestCase):
     def test_start_file(self) -> None:
         station, names, given = start.read(FILES / "start.json")
-        rows = [plain(station, {}), plain(names, {}), [[name, plain(value, {})] for name, value in given.items()]]
+        rows = [
+            plain(station, {}),
+            plain(names, {}),
+            [[name, plain(value, {})] for name, value in given.items()],
+        ]
         compare(self, "files/start_file", lines(rows))
 
     def test_service_configuration(self) -> None:
@@ -52,14 +56,21 @@
         for file in FILES.glob("*.*"):
             shutil.copy(file, folder)
         cases = [
-            ("--config", "start.json"), ("--config", "start.json", "--orders", "server.ini"),
-            ("--orders", "node.ini"), ("--orders", "server.ini"), ("--config", "none.json"),
-        ]  # fmt: skip
+            ("--config", "start.json"),
+            ("--config", "start.json", "--orders", "server.ini"),
+            ("--orders", "node.ini"),
+            ("--orders", "server.ini"),
+            ("--config", "none.json"),
+        ]
         for case in cases:
             done = subprocess.run(
-                [sys.executable, "-m", "thymeyoke", "check", *case], cwd=folder, capture_output=True, text=True,
-                env={**os.environ, "PYTHONPATH": str(DATA.parent.parent)}, timeout=30,
-            )  # fmt: skip
+                [sys.executable, "-m", "thymeyoke", "check", *case],
+                cwd=folder,
+                capture_output=True,
+                text=True,
+                env={**os.environ, "PYTHONPATH": str(DATA.parent.parent)},
+                timeout=30,
+            )
             found.append([list(case), done.returncode, done.stdout])
         compare(self, "files/check", lines(found))
 
@@ -82,10 +93,13 @@
     received.greet(store.mark, "app-1")
     done = 0
     for at in range(0, 420, 30):
-        done += store.append([
-            use(6000.0 + at, "north", Kind.ACKED), use(6000.0 + at, "south", Kind.REPEAT),
-            use(6000.0 + at, "north", list(Kind)[at // 30 % 4], 0.125),
-        ])  # fmt: skip
+        done += store.append(
+            [
+                use(6000.0 + at, "north", Kind.ACKED),
+                use(6000.0 + at, "south", Kind.REPEAT),
+                use(6000.0 + at, "north", list(Kind)[at // 30 % 4], 0.125),
+            ]
+        )
         for made in store.close(6000.0 + at):
             received.take(store.mark, store.batch(made.number))
             if at < 300:
@@ -152,7 +166,7 @@
             [store.start, store.mark.hex(), last, hash_.hex(), plain(batch, {})],
             [plain(entry, {}) for entry in store.entries()],
             sorted(plain(list(store.totals().items()), {})),
-            [plain(stream[:2], {}) + [list(stream[2])] for stream in received.streams()],
+            [[*plain(stream[:2], {}), list(stream[2])] for stream in received.streams()],
             plain(received.held(store.mark), {}),
         ]
         compare(self, "files/stores_read", lines(rows))
--- a/tests/drills/test_bad_input.py
+++ b/tests/drills/test_bad_input.py
@@ -32,6 +32,7 @@
 
 def noise(rng: Random) -> dict[str, bytes]:
     """What is said at a members' port, each on a connection of its own."""
+
     def one(name: str = "stranger", **fields: object) -> Snapshot:
         usual = {"node": True, "incarnation": int(time.time() * 1000), "sequence": 1, "state": State.SERVING}
         return Snapshot(name=name, **(usual | {"address": ADDRESS} | fields))  # type: ignore[arg-type]
--- a/tests/drills/test_members.py
+++ b/tests/drills/test_members.py
@@ -32,7 +32,8 @@
             crowd.nodes.remove("node-2")
             rest = [one for name, one in here.all.items() if name != "node-2"]
             await here.until(
-                lambda: all(one.said(DEAD, since, name="node-2") for one in rest), FOUND, "a death not found")
+                lambda: all(one.said(DEAD, since, name="node-2") for one in rest), FOUND, "a death not found"
+            )
             here.step("it comes back in a new life")
             here.start("node-2")
             await here.listening("node-2")
@@ -69,7 +70,8 @@
                 await anyio.sleep(1.5 * here.period)
                 if long:
                     await here.until(
-                        lambda: here["node-1"].said(DEAD, name="node-2"), FOUND, "it was never found dead")
+                        lambda: here["node-1"].said(DEAD, name="node-2"), FOUND, "it was never found dead"
+                    )
                 here["node-2"].signal(GO_ON)
                 woken = time.time()
                 await anyio.sleep(2.0)
--- a/tests/drills/test_moves_deaths.py
+++ b/tests/drills/test_moves_deaths.py
@@ -34,7 +34,8 @@
             self.assertNotIn(move["tenant"], tenants)
             await self.source_dies(here)
             await here.until(
-                lambda: here.routes(move["tenant"]).get(move["to"]), FOUND, "the target does not hold it")
+                lambda: here.routes(move["tenant"]).get(move["to"]), FOUND, "the target does not hold it"
+            )
             await self.source_comes_back(here, move)
             await crowd.answered(2)
             self.keeps(crowd, since)
@@ -77,8 +78,7 @@
             await here.until(lambda: here.routes(kept["tenant"]) == {kept["to"]: True}, SHOWN, "not kept")
             since = time.time()
             here[kept["to"]].signal(KILL)
-            await here.until(
-                lambda: here.routes(kept["tenant"]) == {"node-1": True}, FOUND, "not taken back")
+            await here.until(lambda: here.routes(kept["tenant"]) == {"node-1": True}, FOUND, "not taken back")
             await seen(here, "undone", to=kept["to"], tenant=kept["tenant"], since=since, within=SHOWN)
             await crowd.answered(2)
             self.keeps(crowd, 0.0)
@@ -98,7 +98,8 @@
 
         async def come(number: int) -> None:
             line = await Line.come(
-                here.tasks, source(1000 + number), here.address(FOUR[0]), here[target].services[FOUR[0]])
+                here.tasks, source(1000 + number), here.address(FOUR[0]), here[target].services[FOUR[0]]
+            )
             lines.append(line)
             await line.ask("look", b"fill", project=FOUR[0], allow="5000")
 
--- a/tests/test_affinity.py
+++ b/tests/test_affinity.py
@@ -228,8 +228,12 @@
         alone.go()
         self.assertEqual(alone.seats.phase.name, state if row["next state"] in DASH else row["next state"])
         done = [one for one in alone.told if not isinstance(one, Tell)]
-        wanted = {"`Ready(0)`": Ready(0), "`Ready`, with those that have not answered": Ready(1),
-                  "`Handed(0)`": Handed(0), "`Handed`, with those that have not acked": Handed(1)}
+        wanted = {
+            "`Ready(0)`": Ready(0),
+            "`Ready`, with those that have not answered": Ready(1),
+            "`Handed(0)`": Handed(0),
+            "`Handed`, with those that have not acked": Handed(1),
+        }
         if out == "what it knows alone":
             self.assertTrue(alone.words("Piece")[-1].leaving)
         else:
@@ -371,7 +375,8 @@
                 case "named", ones, server:
                     named = [world.seats(drawn[int(one, 16)]) for one in ones]
                     self.assertEqual(
-                        named, [{first[one] if server == "first" else server} for one in ones], line)
+                        named, [{first[one] if server == "first" else server} for one in ones], line
+                    )
                 case "late", node, span:  # it has read of it so late; until its end
                     until = world.nodes["a"].kept[drawn[0]].until
                     known = world.nodes[node].kept
@@ -833,9 +838,15 @@
 
 
 def _print(seats: Seats) -> tuple[Any, ...]:
-    return (seats.phase, sorted(seats.kept.items()), sorted(seats.open.items()), sorted(seats.recent.items()),
-            [(one.name, one.stage, one.agreeing, one.moved_at) for one in seats.servers.values()],
-            [(name, peer.acked, peer.sent, peer.heard) for name, peer in seats.peers.items()], seats.log.head)
+    return (
+        seats.phase,
+        sorted(seats.kept.items()),
+        sorted(seats.open.items()),
+        sorted(seats.recent.items()),
+        [(one.name, one.stage, one.agreeing, one.moved_at) for one in seats.servers.values()],
+        [(name, peer.acked, peer.sent, peer.heard) for name, peer in seats.peers.items()],
+        seats.log.head,
+    )
 
 
 class Explored(unittest.TestCase):
--- a/tests/test_announce_session.py
+++ b/tests/test_announce_session.py
@@ -153,9 +153,7 @@
         # A way to Idle from everywhere, with nothing left running, told where one was begun.
         ended = copy.deepcopy(session)
         actions = ended.hear(1.0, Event.STOP)
-        self.assertEqual(
-            (ended.state, set(ended.timers)), (State.IDLE, set())
-        )
+        self.assertEqual((ended.state, set(ended.timers)), (State.IDLE, set()))
         self.assertEqual([type(one) for one in sent(actions)], [wire.Notification] * (session.state >= 3))
         # It goes on by itself: a timer runs wherever it was not told to stop, or waits for the peer to come.
         if not running:
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -612,7 +612,6 @@
         one.it.pulled.remove("0")
         self.assertEqual(tables(X), (1, 99))
 
-
     def me_33(self) -> None:
         seeds = tuple(f"10.1.0.{at}:1" for at in range(1, 6))
         one = One(at=(*seeds, WHERE["me"]), node=True)
@@ -720,8 +719,11 @@
     def hears(self, tale: Snapshot, how: dict[str, Any]) -> None:
         self.one.hear(tale, **how)
 
-    @rule(rumour=st.builds(
-        Rumour, ANYONE, LIVES, st.integers(0, 2), st.sampled_from(Verdict), st.sampled_from("xyzw")))
+    @rule(
+        rumour=st.builds(
+            Rumour, ANYONE, LIVES, st.integers(0, 2), st.sampled_from(Verdict), st.sampled_from("xyzw")
+        )
+    )
     def rumour(self, rumour: Rumour) -> None:
         self.one.hear(Y, Kind.PUSH, rumour)
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -856,6 +856,7 @@
 
     async def test_an_error_in_the_decisions_leaves_due_answers(self) -> None:
         """Counted and logged with its place, as in service; the next op is answered as ever."""
+
         def counted(true: bool, what: str, **pairs: object) -> bool:
             with suppress(AssertionError):
                 invariants.holds(true, what, **pairs)
--- a/thymeyoke/announce/section.py
+++ b/thymeyoke/announce/section.py
@@ -4,7 +4,7 @@
 
 from abc import ABC
 from ipaddress import IPv4Address, IPv4Network, IPv6Address, IPv6Network, ip_address, ip_network
-from typing import Annotated
+from typing import TYPE_CHECKING, Annotated
 
 from msgspec import Meta, Struct
 
@@ -14,19 +14,24 @@
 LESS = ("graceful_shutdown", "med", "prepend")
 
 
-class AnyIp(ABC):  # noqa: B024 (only for isinstance)
-    """For the schema: IPv4 or IPv6."""
+if TYPE_CHECKING:
+    AnyIp = Ip
+    AnyPrefix = Prefix
+else:
 
-    parse = staticmethod(ip_address)
+    class AnyIp(ABC):  # noqa: B024 (only for isinstance)
+        """For the schema: IPv4 or IPv6."""
 
+        parse = staticmethod(ip_address)
 
-class AnyPrefix(ABC):  # noqa: B024
-    parse = staticmethod(ip_network)
+    class AnyPrefix(ABC):  # noqa: B024
+        """For the schema: an IPv4 or IPv6 prefix."""
 
+        parse = staticmethod(ip_network)
 
-for _version in ((IPv4Address, IPv4Network), (IPv6Address, IPv6Network)):
-    AnyIp.register(_version[0])
-    AnyPrefix.register(_version[1])
+    for _version in ((IPv4Address, IPv4Network), (IPv6Address, IPv6Network)):
+        AnyIp.register(_version[0])
+        AnyPrefix.register(_version[1])
 
 As = Annotated[int, Meta(ge=1, le=4294967294, description="an AS number from 1 to 4294967294")]
 Span = Annotated[float, Meta(gt=0, le=3600, description="seconds, more than 0 and at most 3600")]
--- a/thymeyoke/choice.py
+++ b/thymeyoke/choice.py
@@ -147,6 +147,7 @@
 
     def next(self, running: dict[int, int], share: float) -> Job | None:
         """The oldest op of a key within its share; else the slot is lent to the oldest."""
+
         def rank(job: Job) -> tuple[bool, float, float]:
             over = running.get(job.key, 0) + 1 > share
             return over, -job.kind.importance * self.pressed, job.reached
--- a/thymeyoke/ledger/keeper.py
+++ b/thymeyoke/ledger/keeper.py
@@ -174,6 +174,7 @@
 
     async def _off(self, what: Callable[[], Found]) -> Found:
         """In a thread; one at a time. A disk that hangs holds up the thread, not the server."""
+
         def work() -> Found:
             with self.using:
                 try:
--- a/thymeyoke/members/actor.py
+++ b/thymeyoke/members/actor.py
@@ -48,7 +48,8 @@
         self.told = told
         address = str(told.advertise or told.address)
         self.membership = Membership(
-            clock(), own._replace(address=address), tuple(map(str, told.others)), Random(seed), told.period)
+            clock(), own._replace(address=address), tuple(map(str, told.others)), Random(seed), told.period
+        )
         self.changed: Callable[[], None] = lambda: None  # the view's version moved
         self.ears: dict[str, Take] = {}
         self.links = self._linked()
@@ -111,8 +112,10 @@
         if (old.fleet, old.key, old.period) != (told.fleet, told.key, told.period):
             self.links.badge = self._linked().badge
             self.links.period = told.period
-            for link in (*self.links.out.values(), *self.links.into):
-                link.scope.cancel()  # they began with what held before
+            scopes = [link.scope for link in self.links.out.values()]
+            scopes += [link.scope for link in self.links.into]
+            for scope in scopes:
+                scope.cancel()  # they began with what held before
         self._stir()
 
     # Running.
--- a/thymeyoke/members/decide.py
+++ b/thymeyoke/members/decide.py
@@ -102,9 +102,7 @@
     pass; `pulled` on each beat; `fresh` as news has been told; `unanswered_seeds` as they answer, others tell
     of them, or nobody listens there."""
 
-    def __init__(
-        self, now: float, own: Snapshot, seeds: tuple[str, ...], rng: Random, period: float
-    ) -> None:
+    def __init__(self, now: float, own: Snapshot, seeds: tuple[str, ...], rng: Random, period: float) -> None:
         self.seeds = tuple(seed for seed in seeds if seed != own.address)
         # Guards against a view that passes for whole because words are slow: half of the fleet was heard of,
         # by its own questions, and the other half's answers were still on their way.
@@ -249,7 +247,8 @@
 
     def view(self, now: float) -> View:
         own = self.wanted._replace(
-            incarnation=self.own.incarnation, sequence=self.own.sequence, since=max(0.0, now - self.state_at))
+            incarnation=self.own.incarnation, sequence=self.own.sequence, since=max(0.0, now - self.state_at)
+        )
         members = {name: self._member(now, one) for name, one in self.known.items()}
         members[own.name] = Member(own, Trust.SURE, max(0.0, now - self.said_at), 1.0)
         return View(self.version, now, own.name, members, len(self.unanswered_seeds))
@@ -583,8 +582,10 @@
 
     def _acked(self, name: str, number: int, about: str) -> None:
         probe = self.probe
-        if probe is not None and (number, about) == (probe.number, probe.name) and (
-            name == probe.name or name in probe.helpers
+        if (
+            probe is not None
+            and (number, about) == (probe.number, probe.name)
+            and (name == probe.name or name in probe.helpers)
         ):
             return self._answered(probe)
         relay = self.relays.get(number)
--- a/thymeyoke/members/wire.py
+++ b/thymeyoke/members/wire.py
@@ -140,8 +140,8 @@
 
     def _message(self, frame: Any) -> Any:
         match frame:
-            case [rpc.NOTICE, str(word), [bytes(first), *pieces]] if (
-                len(word) <= WORD_MOST and all(isinstance(piece, bytes) for piece in pieces)
+            case [rpc.NOTICE, str(word), [bytes(first), *pieces]] if len(word) <= WORD_MOST and all(
+                isinstance(piece, bytes) for piece in pieces
             ):
                 return self._part(word, first, pieces)
         raise rpc.BadFrame(f"unknown message {str(frame)[:80]}")
--- a/thymeyoke/net/server.py
+++ b/thymeyoke/net/server.py
@@ -35,7 +35,7 @@
 KILLED_WITHIN = 1.0  # seconds past its stop until a killed predecessor is gone, with its listener
 # What asyncio sets aside for a read, 256 KiB by itself. What stays alive behind such a piece leaves gaps that
 # the next one does not fit in, and the heap grows for as long as the server runs.
-selector_events._SelectorTransport.max_size = 1 << 14
+selector_events._SelectorTransport.max_size = 1 << 14  # type: ignore[attr-defined]
 
 
 async def serve(
--- a/thymeyoke/node/process.py
+++ b/thymeyoke/node/process.py
@@ -409,7 +409,9 @@
         """Whether a tenant's address is announced in full, where this node announces it at all."""
         service = self.services.get(tenant)
         return service is None or all(
-            side.in_full(service.told.address.ip) for side in self.sides if side.name == "announce"
+            side.in_full(service.told.address.ip)  # type: ignore[attr-defined]
+            for side in self.sides
+            if side.name == "announce"
         )
 
     def _cap(self) -> None:
@@ -418,7 +420,8 @@
             if side.name == "announce":
                 from thymeyoke.node import levels
 
-                side.cap(levels.caps(self.asked["announce"].addresses, self.told.services, self.moving.low))
+                caps = levels.caps(self.asked["announce"].addresses, self.told.services, self.moving.low)
+                side.cap(caps)  # type: ignore[attr-defined]
 
     # The file, read anew.
 
@@ -502,9 +505,8 @@
 ) -> None:  # fmt: skip
     """Until it has left. `again` reads the operators' file, at the start and on SIGHUP: `BadOrders` or
     `Refused` where it can't be taken. `Refused` as well where another process keeps the node's name."""
-    selector_events._SelectorTransport.max_size = (
-        1 << 14
-    )  # as for a server: what asyncio sets aside for a read
+    # As for a server: what asyncio sets aside for a read.
+    selector_events._SelectorTransport.max_size = 1 << 14  # type: ignore[attr-defined]
     node = Node(again(), SystemRandom().getrandbits(64) if seed is None else seed)
     try:
         node.open()
--- a/thymeyoke/start.py
+++ b/thymeyoke/start.py
@@ -96,18 +96,18 @@
             raise self.bad(name, "an object")
         return Fields({} if value is None else value, self.at(name))
 
-    def list(self, name: str) -> list[Any]:
+    def entries(self, name: str) -> list[Any]:
         value = self.value.get(name)
         if value is not None and not isinstance(value, list):
             raise self.bad(name, "a list")
         return value or []
 
     def rows(self, name: str) -> list[Fields]:
-        return [Fields(row, self.at(f"{name}[{at}]")) for at, row in enumerate(self.list(name))]
+        return [Fields(row, self.at(f"{name}[{at}]")) for at, row in enumerate(self.entries(name))]
 
     def entry(self, name: str, at: int) -> Fields:
         """One entry of a list that has one for each request class; absent where the list is shorter."""
-        entries = self.list(name)
+        entries = self.entries(name)
         return Fields({str(at): entries[at] if at < len(entries) else None}, self.at(name))
 
 
@@ -160,7 +160,7 @@
             key_size=family.number("kb_per_key", 0),
             tick=settings.number("tick_us", 0) * MICRO,
             halt=family.word("halt", HALTS, "silent"),
-            gauges=tuple(GAUGES.get(name, name) for name in map(str, family.list("gauges"))),
+            gauges=tuple(GAUGES.get(name, name) for name in map(str, family.entries("gauges"))),
         ),
         "survival": facts.Survival(
             crowd=contract.number("fall_multiple", least=1),
