--- a/Makefile
+++ b/Makefile
@@ -3,15 +3,15 @@
 # deploy/sites/*.toml, for those who have the bench.
 
 PYTHON ?= python3
-# Tests on sockets and drills mostly wait: so many files of them at once. What counts what falls into 0.1 s plays
+# Tests on sockets and of faults between processes mostly wait: so many files of them at once. What counts what falls into 0.1 s plays
 # alone.
 TOGETHER ?= 4
 # Decisions, stores and simulated time: no clock, socket or wait of theirs; all at once they disturb nobody.
-PURE := $(wildcard $(patsubst %,tests/test_%.py,affinity announce_decide announce_session announce_wire ledger \
-	moves simulated) $(patsubst %,tests/conformance/test_%.py,design pages) tests/characterization/test_*.py)
-ALONE := tests/drills/test_coldstart.py
+PURE := $(wildcard $(patsubst %,tests/test_%.py,affinity bgp_controller bgp_session bgp_wire ledger \
+	migration simulated) $(patsubst %,tests/conformance/test_%.py,design pages) tests/characterization/test_*.py)
+ALONE := tests/fault_injection/test_slow_start.py
 # The longest first.
-SOCKETS := $(filter-out $(PURE) $(ALONE),$(sort $(wildcard tests/drills/test_*.py)) \
+SOCKETS := $(filter-out $(PURE) $(ALONE),$(sort $(wildcard tests/fault_injection/test_*.py)) \
 	$(sort $(wildcard tests/test_*.py tests/conformance/test_*.py)))
 # One file, what it says in one piece.
 EACH := sh -c \
--- a/benchmarks/affinity.py
+++ b/benchmarks/affinity.py
@@ -16,13 +16,13 @@
 import click
 
 from benchmarks import show
-from standins.simulated_seats import World
+from fakes.simulated_affinity import World
 from thymeyoke.affinity import wire
-from thymeyoke.affinity.customers import customer
-from thymeyoke.affinity.decide import Seats
-from thymeyoke.affinity.hashing import Places, pair
-from thymeyoke.affinity.words import Piece
-from thymeyoke.members.view import Member, Snapshot, State, Trust, View
+from thymeyoke.affinity.clients import customer
+from thymeyoke.affinity.controller import Seats
+from thymeyoke.affinity.messages import Piece
+from thymeyoke.affinity.rendezvous import Places, pair
+from thymeyoke.membership.view import Member, Snapshot, State, Trust, View
 
 LINGER, MARGIN, OLD = 17.6, 2.2, 1e6
 SERVERS = 300
--- a/benchmarks/announce.py
+++ b/benchmarks/bgp.py
@@ -1,5 +1,5 @@
 """What announcing costs: from decision to wire, an op, a session, received paths. `python -m
-benchmarks.announce`.
+benchmarks.bgp`.
 
 One table, and JSON lines with `--json`. Servers are processes of their own, as in service (`-O`); times are
 this machine's, so quote the ratios. A quiet machine is needed, some two minutes of it.
@@ -21,13 +21,13 @@
 import orjson
 
 from benchmarks import show
-from examples.standins import Router
-from standins.bgp import BgpPeer
-from standins.fleet import ADDRESS, Fleet, Instance, free_port
-from thymeyoke.announce import wire
-from thymeyoke.announce.session import Event, Mine, Session
-from thymeyoke.announce.shown import Shown
-from thymeyoke.announce.wire import IPV4, Attribute, Nlri
+from examples.fakes import Router
+from fakes.bgp import BgpPeer
+from fakes.fleet import ADDRESS, Fleet, Instance, free_port
+from thymeyoke.bgp import wire
+from thymeyoke.bgp.presentation import Shown
+from thymeyoke.bgp.session import Event, Mine, Session
+from thymeyoke.bgp.wire import IPV4, Attribute, Nlri
 
 SECOND = "203.0.113.7/32"
 OPS, AT_ONCE = 6000, 16
@@ -237,7 +237,7 @@
     """Measure what announcing costs.
 
     \b
-    Example: python -m benchmarks.announce --only paths
+    Example: python -m benchmarks.bgp --only paths
     """
     rows: list[dict[str, Any]] = []
     if only in (None, "op"):
--- a/benchmarks/drills.py
+++ b/benchmarks/fault_injection.py
@@ -1,5 +1,5 @@
-"""Drills that are longer, with faults drawn by seed. `python -m benchmarks.drills --seeds 5`: one table, or
-JSON lines with `--json`.
+"""Drills that are longer, with faults drawn by seed. `python -m benchmarks.fault_injection --seeds 5`: one
+table, or JSON lines with `--json`.
 
 Each seed is one play: app servers, nodes and customers, and for `--span` seconds processes that are killed,
 stopped, told to leave and started again, and links that go wrong. Then all is healed, and what is counted is
@@ -22,9 +22,9 @@
 import click
 import orjson
 
-from standins.customers import Crowd, Moved, source
-from standins.link import ONCE, drawn
-from standins.processes import (
+from fakes.clients import Crowd, Moved, source
+from fakes.faulty_link import ONCE, drawn
+from fakes.processes import (
     GO_ON,
     KILL,
     LINKED,
@@ -39,7 +39,7 @@
     in_text,
     peak,
 )
-from thymeyoke.affinity.customers import customer as numbered
+from thymeyoke.affinity.clients import customer as numbered
 
 EACH = 6.0  # seconds between the beginnings of two faults
 LINKS = 3  # that go wrong at a time
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -24,9 +24,9 @@
 import orjson
 
 from benchmarks import show
-from benchmarks.announce import cpu, rss
-from examples.standins import LOST, Router
-from standins.fleet import Instance, free_port
+from benchmarks.bgp import cpu, rss
+from examples.fakes import LOST, Router
+from fakes.fleet import Instance, free_port
 
 STARTS = 5
 CONNECTIONS = 1024
@@ -58,7 +58,7 @@
     before = resource.getrusage(resource.RUSAGE_CHILDREN)
     subprocess.run(
         [sys.executable, "-O", "-c",
-         "import thymeyoke.__main__, thymeyoke.net.server, anyio._backends._asyncio"],
+         "import thymeyoke.__main__, thymeyoke.server.lifecycle, anyio._backends._asyncio"],
         cwd=tree, check=True, env=os.environ | {"PYTHONDONTWRITEBYTECODE": "1"})  # fmt: skip
     after = resource.getrusage(resource.RUSAGE_CHILDREN)
     return after.ru_utime + after.ru_stime - before.ru_utime - before.ru_stime
--- a/benchmarks/ledger.py
+++ b/benchmarks/ledger.py
@@ -22,14 +22,14 @@
 import orjson
 
 from benchmarks import show
-from benchmarks.announce import cpu, rss
-from examples.standins import Router
-from standins.fleet import Instance, free_port
+from benchmarks.bgp import cpu, rss
+from examples.fakes import Router
+from fakes.fleet import Instance, free_port
 from thymeyoke.ledger import wire
-from thymeyoke.ledger.book import Book
-from thymeyoke.ledger.entries import Amounts, Kind, Line, Use
+from thymeyoke.ledger.export_store import Vault
 from thymeyoke.ledger.receiver import Receiver
-from thymeyoke.ledger.vault import Vault
+from thymeyoke.ledger.usage_entries import Amounts, Kind, Line, Use
+from thymeyoke.ledger.usage_journal import Book
 
 OPS, AT_ONCE, ROUNDS = 6000, 16, 3
 MILLION = 1_000_000
--- a/benchmarks/members.py
+++ b/benchmarks/membership.py
@@ -1,4 +1,4 @@
-"""Members in simulated time, beside leases told to all. `python -m benchmarks.members`: one table, or JSON
+"""Members in simulated time, beside leases told to all. `python -m benchmarks.membership`: one table, or JSON
 lines with `--json`.
 
 `Simulated` is also what the tests play faults with: real decisions, no sockets, a clock of its own for each
@@ -19,11 +19,11 @@
 import click
 
 from benchmarks import show
-from thymeyoke.members import wire
-from thymeyoke.members.decide import Membership
-from thymeyoke.members.news import Kind, Message, Noted, Send
-from thymeyoke.members.trust import Known, Layer, Said
-from thymeyoke.members.view import Load, Snapshot, State, Trust
+from thymeyoke.membership import wire
+from thymeyoke.membership.controller import Membership
+from thymeyoke.membership.failure_detector import Known, Layer, Said
+from thymeyoke.membership.gossip import Kind, Message, Noted, Send
+from thymeyoke.membership.view import Load, Snapshot, State, Trust
 
 DELAY = 0.002  # seconds of one way
 HEAD = 110  # octets of a notification's head, about, with its MAC
--- a/benchmarks/moves.py
+++ b/benchmarks/migration.py
@@ -1,5 +1,5 @@
 """What a plan of moves takes and leaves: greedy, the search, and solvers where they are installed; and nodes
-over simulated hours with and without moves. `python -m benchmarks.moves`.
+over simulated hours with and without moves. `python -m benchmarks.migration`.
 
 One table, and JSON lines with `--json`. Fleets are drawn by seed; times are this machine's, so quote the
 ratios. Solvers (`ortools`, `highspy`) are not among the program's libraries: they are measured where they can
@@ -18,10 +18,10 @@
 import click
 
 from benchmarks import show
-from thymeyoke.members.view import Load, Member, Snapshot, State, Trust, View
-from thymeyoke.moves import loads, plan, wire
-from thymeyoke.moves.decide import Mover, Terms
-from thymeyoke.moves.plan import Allowed, Found, Problem
+from thymeyoke.membership.view import Load, Member, Snapshot, State, Trust, View
+from thymeyoke.migration import load_ranges, planner, wire
+from thymeyoke.migration.controller import Mover, Terms
+from thymeyoke.migration.planner import Allowed, Found, Problem
 
 SIZES = (  # nodes, tenants, `uneven`
     (8, 100, 1.25),
@@ -72,11 +72,11 @@
 
 
 def greedy(given: Problem) -> Found:
-    return plan.greedy(given)
+    return planner.greedy(given)
 
 
 def search(given: Problem) -> Found:
-    return plan.fewest(given)[0]
+    return planner.fewest(given)[0]
 
 
 def cp_sat(given: Problem) -> Found:
@@ -173,12 +173,12 @@
         before = []
         for seed in range(SEEDS):
             view = drawn(seed, nodes, tenants)
-            read = loads.read(view, terms)
-            problems.append((read, plan.problem(read, allowed(view), terms)))
-            before.append(plan.evenness(one.load.mid for one in read.nodes))
+            read = load_ranges.read(view, terms)
+            problems.append((read, planner.problem(read, allowed(view), terms)))
+            before.append(planner.evenness(one.load.mid for one in read.nodes))
         rows.append(row(f"{where}: most loaded, before", statistics.mean(before), "mean"))
         rows.append(
-            row(f"{where}: moves, lower bound", statistics.mean(plan.least(one) for _, one in problems))
+            row(f"{where}: moves, lower bound", statistics.mean(planner.least(one) for _, one in problems))
         )
         base: list[tuple[int, float, float]] = []
         for name, (library, way) in WAYS.items():
@@ -205,12 +205,12 @@
             ]
 
 
-def after(read: loads.Loads, given: Problem, chosen: list[plan.Choice]) -> float:
+def after(read: load_ranges.Loads, given: Problem, chosen: list[planner.Choice]) -> float:
     held = {one.name: one.load.mid for one in read.nodes}
     for at, tenant, target in chosen:
         held[given.sources[at].name] -= tenant.load.mid
         held[target.name] += tenant.load.mid
-    return plan.evenness(held.values())
+    return planner.evenness(held.values())
 
 
 def whole(rows: list[dict[str, Any]]) -> None:
@@ -221,7 +221,9 @@
         took = []
         for seed in range(SEEDS):
             view = drawn(seed, nodes, tenants, room)
-            took.append(spent(lambda view=view: plan.plan(loads.read(view, TERMS), allowed(view), TERMS), 3))
+            took.append(
+                spent(lambda view=view: planner.plan(load_ranges.read(view, TERMS), allowed(view), TERMS), 3)
+            )
         found.append(took)
     usual, full = statistics.median(found[0]), statistics.median(found[1])
     rows += [
@@ -282,7 +284,7 @@
             mover.settle(self.now)
         self.most = max(self.most, sum(record.state in ("begun", "settling") for mover in self.movers.values()
                                        for record in mover._live()))  # fmt: skip
-        self.uneven.append(plan.evenness(sum(its.values()) for its in self.held.values()))
+        self.uneven.append(planner.evenness(sum(its.values()) for its in self.held.values()))
 
     def counted(self, name: str) -> int:
         return sum(mover.counts[name] for mover in self.movers.values())
@@ -313,7 +315,7 @@
     """What a plan of moves takes and leaves.
 
     \b
-    Example: python -m benchmarks.moves --json
+    Example: python -m benchmarks.migration --json
     """
     rows: list[dict[str, Any]] = []
     for name, part in (("plans", plans), ("whole", whole), ("hours", hours)):
--- a/benchmarks/node.py
+++ b/benchmarks/proxy.py
@@ -1,4 +1,4 @@
-"""What a node costs beside a direct connection. `python -m benchmarks.node`: one table, or JSON lines with
+"""What a node costs beside a direct connection. `python -m benchmarks.proxy`: one table, or JSON lines with
 `--json`.
 
 A stand-in for an app server takes what it is sent and says it back; customers reach it directly and through a
@@ -29,13 +29,13 @@
 import click
 
 from benchmarks import show
-from benchmarks.announce import cpu, rss
-from standins.fleet import free_port
-from thymeyoke.members.actor import Fleet, incarnation
-from thymeyoke.members.section import Members
-from thymeyoke.members.view import Snapshot, State
-from thymeyoke.net import log
-from thymeyoke.orders import HostPort
+from benchmarks.bgp import cpu, rss
+from fakes.fleet import free_port
+from thymeyoke.configuration.service_config import HostPort
+from thymeyoke.membership.configuration import Members
+from thymeyoke.membership.service import Fleet, incarnation
+from thymeyoke.membership.view import Snapshot, State
+from thymeyoke.runtime import logs
 
 TURNS = 5
 BULK = 1 << 27  # octets of one transfer
@@ -50,7 +50,7 @@
 def echo(port: int, far: int) -> None:
     """A process: says back what it hears on `port`; takes without a word on the next one; is a member."""
     resource.setrlimit(resource.RLIMIT_NOFILE, (20000, resource.getrlimit(resource.RLIMIT_NOFILE)[1]))
-    log.logger.addHandler(logging.NullHandler())
+    logs.logger.addHandler(logging.NullHandler())
     told = Members(HostPort.parse(f"127.0.0.1:{far}"), period=0.2)
 
     class Echo(asyncio.Protocol):
@@ -299,4 +299,4 @@
 
 if __name__ == "__main__":
     assert os.name == "posix"
-    main(prog_name="benchmarks.node")
+    main(prog_name="benchmarks.proxy")
--- a/benchmarks/simulated.py
+++ b/benchmarks/simulated.py
@@ -18,13 +18,13 @@
 import click
 
 from benchmarks import show
-from standins.simulated import LINGER, Fleet
-from standins.simulated_cold import Crowd, Fault, Fixed, Process
-from standins.simulated_members import Talk
-from standins.simulated_moves import STEP, Moving
-from thymeyoke.coldstart.beat import SPAN
-from thymeyoke.members.trust import Stand
-from thymeyoke.moves.decide import Terms
+from fakes.simulated_fleet import LINGER, Fleet
+from fakes.simulated_membership import Talk
+from fakes.simulated_migration import STEP, Moving
+from fakes.simulated_slow_start import Crowd, Fault, Fixed, Process
+from thymeyoke.membership.failure_detector import Stand
+from thymeyoke.migration.controller import Terms
+from thymeyoke.slow_start.heartbeat import SPAN
 
 Row = dict[str, Any]
 
--- a/benchmarks/coldstart.py
+++ b/benchmarks/slow_start.py
@@ -1,4 +1,4 @@
-"""Cold starts of many, as ratios of the fullest 0.1 s to the steady rate. `python -m benchmarks.coldstart`.
+"""Cold starts of many, as ratios of the fullest 0.1 s to the steady rate. `python -m benchmarks.slow_start`.
 
 `--simulated`: the decisions in simulated time, 300 processes without any spread, beside what the program did
 before. Else processes of the program against one list and one database: started together, stopped and let go
@@ -34,14 +34,14 @@
 from anyio.abc import TaskGroup
 
 from benchmarks import show
-from benchmarks.announce import cpu
-from examples.standins import LOST, Processor, Router
+from benchmarks.bgp import cpu
+from examples.fakes import LOST, Processor, Router
 from examples.toy import START
-from standins.apart import Apart, Far
-from standins.below import WINDOW, Base, Door, List, Strength, Turns
-from standins.coldstart import HEADROOM, PLAYS, TARGET, TIMEOUT, TOOK, Fault, play
-from standins.link import held
-from thymeyoke.coldstart.beat import SPAN
+from fakes.dependency import WINDOW, Base, Door, List, Strength, Turns
+from fakes.faulty_link import held
+from fakes.namespaces import Apart, Far
+from fakes.slow_start import HEADROOM, PLAYS, TARGET, TIMEOUT, TOOK, Fault, play
+from thymeyoke.slow_start.heartbeat import SPAN
 
 ROOT = Path(__file__).parent.parent
 LIMIT = 900  # seconds that a process may live
--- a/examples/children.py
+++ b/examples/children.py
@@ -8,10 +8,10 @@
 from collections.abc import Sequence
 from contextlib import suppress
 
-from thymeyoke import start
+from thymeyoke.configuration import start_file
 
 
-def reached(where: start.Address, children: Sequence[subprocess.Popen[bytes]], ends: float) -> bool:
+def reached(where: start_file.Address, children: Sequence[subprocess.Popen[bytes]], ends: float) -> bool:
     """Whether somebody listens there by `ends`, a moment of `time.monotonic()`; no longer once one of the
     children has ended."""
     while time.monotonic() < ends and all(child.poll() is None for child in children):
--- a/examples/fleet/__main__.py
+++ b/examples/fleet/__main__.py
@@ -26,8 +26,8 @@
 import click
 
 from examples import children
-from examples.standins import LOST, Database, Processor, Roster, Router
-from thymeyoke import orders, start
+from examples.fakes import LOST, Database, Processor, Roster, Router
+from thymeyoke.configuration import service_config, start_file
 
 HERE = Path(__file__).parent
 ROOT = HERE.parent.parent
@@ -69,7 +69,7 @@
     """Stand in for what is around the app servers, until interrupted."""
 
     async def run() -> None:
-        stations = [start.read(HERE / f"{name}.json")[0] for name in APPS]
+        stations = [start_file.read(HERE / f"{name}.json")[0] for name in APPS]
         async with anyio.create_task_group() as tasks:
             for station in stations:
                 await tasks.start(Named(station.name).run, station.processor.port)
@@ -91,8 +91,10 @@
 
 async def _send(customers: int) -> int:
     """The table of who reached what; 1 where a customer met two app servers, or an op was not acked."""
-    where = {name: {one.tenant: one.address for one in orders.read(HERE / f"{name}.ini")["node"].services}
-             for name in NODES}  # fmt: skip
+    where = {
+        name: {one.tenant: one.address for one in service_config.read(HERE / f"{name}.ini")["node"].services}
+        for name in NODES
+    }
     good = 0
     click.echo("CUSTOMER     TENANT  " + "  ".join(f"THROUGH {name.upper()}" for name in NODES))
     for number in range(customers):
@@ -142,10 +144,10 @@
             begin("thymeyoke", "node", "--log-level", "warning", "--orders", str(HERE / f"{name}.ini"))
             for name in NODES
         ]
-        listens = [start.read(HERE / f"{name}.json")[0].listen for name in APPS]
+        listens = [start_file.read(HERE / f"{name}.json")[0].listen for name in APPS]
         for name in NODES:
-            services = orders.read(HERE / f"{name}.ini")["node"].services
-            listens += [start.Address("127.0.0.1", one.address.port) for one in services]
+            services = service_config.read(HERE / f"{name}.ini")["node"].services
+            listens += [start_file.Address("127.0.0.1", one.address.port) for one in services]
         if not all(children.reached(where, [*servers, *nodes], ends) for where in listens):
             raise click.ClickException("not all of it came up; is one of its ports taken?")
         time.sleep(MEET)
--- a/examples/toy.py
+++ b/examples/toy.py
@@ -22,8 +22,8 @@
 import click
 
 from examples import children
-from examples.standins import Database, Processor, Roster, Router
-from thymeyoke import start
+from examples.fakes import Database, Processor, Roster, Router
+from thymeyoke.configuration import start_file
 
 START = Path(__file__).with_name("start.json")
 UP = 10.0  # seconds in which the server has to listen
@@ -34,16 +34,18 @@
     """Try a server on this machine. Start files must name loopback addresses."""
 
 
-start_file = click.option("--config", default=START, type=click.Path(path_type=Path), help="The start file.")
+config_option = click.option(
+    "--config", default=START, type=click.Path(path_type=Path), help="The start file."
+)
 
 
 @main.command()
-@start_file
+@config_option
 def around(config: Path) -> None:
     """Stand in for the processor, the database and the list, until interrupted."""
 
     async def run() -> None:
-        station = start.read(config)[0]
+        station = start_file.read(config)[0]
         async with anyio.create_task_group() as tasks:
             await tasks.start(Processor(span=0.2).run, station.processor.port)
             await tasks.start(Database().run, station.database.port)
@@ -54,13 +56,13 @@
 
 
 @main.command()
-@start_file
+@config_option
 @click.option("--ops", default=10, type=click.IntRange(1, 32), help="How many, all at once.")
 def send(config: Path, ops: int) -> None:
     """Send ops of all types by turns and print their answers."""
 
     async def run() -> int:
-        station, names, _ = start.read(config)
+        station, names, _ = start_file.read(config)
         failed = 0
         async with anyio.create_task_group() as tasks:
             router = await Router.connect(tasks, station.listen.host, station.listen.port)
@@ -82,7 +84,7 @@
 
 
 @main.command("try")
-@start_file
+@config_option
 @click.option("--ops", default=20, type=click.IntRange(1, 32), help="How many, all at once.")
 def try_(config: Path, ops: int) -> None:
     """All of it at once: what stands around, the server, ops with their answers, the notice to leave.
@@ -101,7 +103,7 @@
 
         begin("examples.toy", "around")
         server = begin("thymeyoke", "serve")
-        station = start.read(config)[0]
+        station = start_file.read(config)[0]
         if not children.reached(station.listen, [server], time.monotonic() + UP):
             raise click.ClickException(f"no server came up at {station.listen}; is the port taken?")
         time.sleep(0.5)  # until the processor's link is up
--- a/standins/bgp.py
+++ b/fakes/bgp.py
@@ -15,11 +15,11 @@
 import anyio
 from anyio.abc import SocketStream
 
-from examples.standins import LOST, StandIn
-from thymeyoke.announce import attributes, wire
-from thymeyoke.announce.attributes import Path
-from thymeyoke.announce.shown import full, who
-from thymeyoke.announce.wire import IPV4, IPV6, Cap, Capability, Code, Family, Nlri
+from examples.fakes import LOST, StandIn
+from thymeyoke.bgp import attributes, wire
+from thymeyoke.bgp.attributes import Path
+from thymeyoke.bgp.presentation import full, who
+from thymeyoke.bgp.wire import IPV4, IPV6, Cap, Capability, Code, Family, Nlri
 
 FAULTS = frozenset((
     "", "silent", "wrong-as", "hold-1", "hold-0", "bad-id", "half", "length-18", "length-65535", "garbage",
--- a/standins/customers.py
+++ b/fakes/clients.py
@@ -18,8 +18,8 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from examples.standins import LOST, Router
-from standins.processes import Drill
+from examples.fakes import LOST, Router
+from fakes.processes import Drill
 
 PATIENCE = 2.0  # seconds that a customer gives an op
 SLACK = 1.0  # for the turns of a busy machine
--- a/standins/below.py
+++ b/fakes/dependency.py
@@ -16,8 +16,8 @@
 from anyio.abc import SocketStream, TaskGroup
 from anyio.streams.buffered import BufferedByteReceiveStream
 
-from examples.standins import LOST, Watched
-from standins.link import held
+from examples.fakes import LOST, Watched
+from fakes.faulty_link import held
 
 WINDOW = 0.1  # seconds over which load is looked at
 TURN = 0.01  # seconds between looks at how late this process is itself
--- a/standins/dispatcher.py
+++ b/fakes/dispatcher.py
@@ -5,8 +5,8 @@
 from typing import Any
 from unittest import mock
 
-from thymeyoke import start
-from thymeyoke.net import desk, mail
+from thymeyoke.configuration import start_file
+from thymeyoke.server import dispatcher, messages
 
 READ, KEYED = 0, 1  # request classes of the toy's start file
 START = 1_000_000.0
@@ -18,12 +18,12 @@
 
     def __init__(self, stop: float, settings: dict[str, Any]) -> None:
         self.now, self.number = START, 0
-        with mock.patch.object(desk, "clock", self._clock):
-            self.desk = desk.Desk(stop, start.start(7, settings))
+        with mock.patch.object(dispatcher, "clock", self._clock):
+            self.desk = dispatcher.Desk(stop, start_file.start(7, settings))
         self.front, self.processor = mock.Mock(connections={mock.Mock()}, most=9), mock.Mock()
         self.desk.meet(self.front, self.processor, mock.Mock(), mock.Mock())
-        self.answers: dict[str, list[mail.Answer]] = {}
-        self.hear(mail.Up(False, 0.0), mail.Synced(1))
+        self.answers: dict[str, list[messages.Answer]] = {}
+        self.hear(messages.Up(False, 0.0), messages.Synced(1))
 
     def _clock(self) -> float:
         return self.now
@@ -32,18 +32,18 @@
         self.desk.events.close()
         self.desk.inbox.close()
 
-    def hear(self, *events: mail.Event) -> None:
+    def hear(self, *events: messages.Event) -> None:
         """One batch."""
-        with mock.patch.object(desk, "clock", self._clock):
+        with mock.patch.object(dispatcher, "clock", self._clock):
             self.desk._turn(self.now, list(events))
 
-    def arrive(self, id: str, kind: int = READ, **changed: Any) -> mail.Arrived:
+    def arrive(self, id: str, kind: int = READ, **changed: Any) -> messages.Arrived:
         """A request that is answered into `answers`, by its id."""
         given = self.answers.setdefault(id, [])
         asker, self.number = mock.Mock(tell=given.append), self.number + 1
         key = KEY if kind == KEYED else None
-        order = mail.Order(id, kind, 0, 1, self.now, 2.0, 9.0, 0.5, key, None, b"body")
-        return mail.Arrived(asker, self.number, order._replace(**changed))
+        order = messages.Order(id, kind, 0, 1, self.now, 2.0, 9.0, 0.5, key, None, b"body")
+        return messages.Arrived(asker, self.number, order._replace(**changed))
 
     def run_until(self, moment: float, late: float = 0.0) -> None:
         """Let time pass; each wake of a timer comes `late`."""
@@ -57,4 +57,4 @@
 
     def begun(self) -> list[str]:
         told = [call.args[0] for call in self.processor.tell.call_args_list]
-        return [command.id for command in told if isinstance(command, mail.Begin)]
+        return [command.id for command in told if isinstance(command, messages.Begin)]
--- a/standins/link.py
+++ b/fakes/faulty_link.py
@@ -21,7 +21,7 @@
 from anyio.abc import TaskStatus
 from anyio.streams.memory import MemoryObjectReceiveStream, MemoryObjectSendStream
 
-from examples.standins import Watched
+from examples.fakes import Watched
 
 CHUNK = 1 << 12
 QUEUE = 16
--- a/standins/fleet.py
+++ b/fakes/fleet.py
@@ -23,10 +23,10 @@
 import orjson
 from anyio.abc import TaskGroup
 
-from examples.standins import Database, Processor, Roster, Router
+from examples.fakes import Database, Processor, Roster, Router
 from examples.toy import START
-from standins.bgp import BgpPeer
-from standins.link import held
+from fakes.bgp import BgpPeer
+from fakes.faulty_link import held
 
 ADDRESS = "198.51.100.7/32"
 CORES, SPAN = 2, 0.1
--- a/standins/apart.py
+++ b/fakes/namespaces.py
@@ -1,7 +1,7 @@
 """The list and the database in a process of their own, so that nothing the stand-ins beside them do holds up
 what counts their load: hundreds of processors, routers and starts keep one process busy.
 
-`Apart` starts it (`python -m standins.apart`) and keeps two `Far`, used as the doors they stand for. Orders
+`Apart` starts it (`python -m fakes.namespaces`) and keeps two `Far`, used as the doors they stand for. Orders
 go in and news comes out as JSON lines; moments are stamped over there. It ends with its standard input.
 """
 
@@ -21,7 +21,7 @@
 from anyio.abc import Process, TaskGroup
 from anyio.streams.buffered import BufferedByteReceiveStream
 
-from standins.below import Base, List, Load, Strength, Turns
+from fakes.dependency import Base, List, Load, Strength, Turns
 
 NEWS = 0.05  # seconds between two lines of news
 LIMIT = 1 << 22  # octets of one line
@@ -62,7 +62,7 @@
         self.up = anyio.Event()
 
     async def __aenter__(self) -> Apart:
-        command = [sys.executable, "-m", "standins.apart", *map(str, self.terms)]
+        command = [sys.executable, "-m", "fakes.namespaces", *map(str, self.terms)]
         self.process = await anyio.open_process(command, stdin=PIPE, stdout=PIPE, stderr=None)
         return self
 
--- a/standins/processes.py
+++ b/fakes/processes.py
@@ -27,10 +27,10 @@
 import orjson
 from anyio.abc import TaskGroup
 
-from examples.standins import Database, Processor, Roster, StandIn
+from examples.fakes import Database, Processor, Roster, StandIn
 from examples.toy import START
-from standins.bgp import BgpPeer
-from standins.link import Link, held
+from fakes.bgp import BgpPeer
+from fakes.faulty_link import Link, held
 
 ROOT = Path(__file__).parent.parent
 THROUGH = Path(__file__).with_name("through.py")
--- a/standins/routers.py
+++ b/fakes/routers.py
@@ -9,8 +9,8 @@
 
 import anyio
 
-from examples.standins import LOST, Router
-from standins.processes import Drill
+from examples.fakes import LOST, Router
+from fakes.processes import Drill
 
 OPEN = 32  # requests of one connection, as the protocol has it
 SPARE = 12  # of them, for what is asked beside a trickle
--- a/standins/simulated_seats.py
+++ b/fakes/simulated_affinity.py
@@ -13,9 +13,9 @@
 from typing import Any, NamedTuple
 
 from thymeyoke.affinity import wire
-from thymeyoke.affinity.decide import Seats, Tell
-from thymeyoke.affinity.hashing import Places
-from thymeyoke.members.view import Member, Snapshot, State, Trust, View
+from thymeyoke.affinity.controller import Seats, Tell
+from thymeyoke.affinity.rendezvous import Places
+from thymeyoke.membership.view import Member, Snapshot, State, Trust, View
 
 OLD = 1e6  # seconds that a server has served
 TRIES = 80  # of a connection that waits or fails
--- a/standins/simulated.py
+++ b/fakes/simulated_fleet.py
@@ -19,11 +19,11 @@
 from typing import Any, NamedTuple
 
 from thymeyoke.affinity import wire as seats_wire
-from thymeyoke.affinity.customers import customer
-from thymeyoke.affinity.decide import Handed, Ready, Seats, Tell
-from thymeyoke.affinity.hashing import Places
-from thymeyoke.affinity.words import Message
-from thymeyoke.members.view import Member, Snapshot, State, Trust, View
+from thymeyoke.affinity.clients import customer
+from thymeyoke.affinity.controller import Handed, Ready, Seats, Tell
+from thymeyoke.affinity.messages import Message
+from thymeyoke.affinity.rendezvous import Places
+from thymeyoke.membership.view import Member, Snapshot, State, Trust, View
 
 PERIOD = 1.0  # between two snapshots of one process
 TICK = 0.1  # between two looks at what seats want told: twice what a node takes
--- a/standins/simulated_members.py
+++ b/fakes/simulated_membership.py
@@ -9,12 +9,12 @@
 from math import inf
 from random import Random
 
-from standins.simulated import Net, World
-from thymeyoke.members import wire
-from thymeyoke.members.decide import Membership
-from thymeyoke.members.news import Message, Send
-from thymeyoke.members.trust import Stand
-from thymeyoke.members.view import Load, Snapshot, State
+from fakes.simulated_fleet import Net, World
+from thymeyoke.membership import wire
+from thymeyoke.membership.controller import Membership
+from thymeyoke.membership.failure_detector import Stand
+from thymeyoke.membership.gossip import Message, Send
+from thymeyoke.membership.view import Load, Snapshot, State
 
 PERIOD = 1.0
 LATE_LEAST, LATE_MOST = 0.001, 0.02
--- a/standins/simulated_moves.py
+++ b/fakes/simulated_migration.py
@@ -11,10 +11,10 @@
 from math import exp
 from typing import Any
 
-from standins.simulated import Eyes, Net, Process, World
-from thymeyoke.members.view import Load, State
-from thymeyoke.moves.decide import Level, Mover, Terms
-from thymeyoke.moves.decide import State as Move
+from fakes.simulated_fleet import Eyes, Net, Process, World
+from thymeyoke.membership.view import Load, State
+from thymeyoke.migration.controller import Level, Mover, Terms
+from thymeyoke.migration.controller import State as Move
 
 STEP = 4.0  # between two steps of every node, and two snapshots
 LIFE = 120.0  # of a connection, in the mean
--- a/standins/simulated_cold.py
+++ b/fakes/simulated_slow_start.py
@@ -14,12 +14,12 @@
 from math import inf
 from typing import Any
 
-from standins.simulated import World
-from thymeyoke.coldstart.beat import KEEP, PATIENCE, SPAN
-from thymeyoke.coldstart.decide import ColdStart
-from thymeyoke.coldstart.pace import LOOK, Terms
-from thymeyoke.coldstart.waits import Waits
-from thymeyoke.port.facts import Outcome
+from fakes.simulated_fleet import World
+from thymeyoke.admission.settings import Outcome
+from thymeyoke.slow_start.backoff import Waits
+from thymeyoke.slow_start.controller import ColdStart
+from thymeyoke.slow_start.heartbeat import KEEP, PATIENCE, SPAN
+from thymeyoke.slow_start.rate_limiter import LOOK, Terms
 
 WINDOW = 0.1  # over which a peak is counted
 STARTS = 0.5  # processor time of a start
--- a/standins/coldstart.py
+++ b/fakes/slow_start.py
@@ -16,12 +16,12 @@
 from random import Random
 from typing import Any, NamedTuple
 
-from standins.below import Load, Strength, Taking
-from thymeyoke.coldstart.beat import KEEP, PATIENCE, SPAN
-from thymeyoke.coldstart.decide import ColdStart
-from thymeyoke.coldstart.pace import LOOK, Terms
-from thymeyoke.coldstart.waits import Waits
-from thymeyoke.port.facts import Outcome
+from fakes.dependency import Load, Strength, Taking
+from thymeyoke.admission.settings import Outcome
+from thymeyoke.slow_start.backoff import Waits
+from thymeyoke.slow_start.controller import ColdStart
+from thymeyoke.slow_start.heartbeat import KEEP, PATIENCE, SPAN
+from thymeyoke.slow_start.rate_limiter import LOOK, Terms
 
 WAY = 0.001  # seconds to a peer and back
 TOOK = 0.02  # seconds of a call
--- a/tests/server.py
+++ b/tests/app_server.py
@@ -15,16 +15,17 @@
 import orjson
 from anyio.abc import TaskGroup
 
-from examples.standins import Database, Processor, Roster, Router
+from examples.fakes import Database, Processor, Roster, Router
 from examples.toy import START
-from standins.processes import Spent
-from thymeyoke import start
-from thymeyoke.choice import Choice
-from thymeyoke.net import log, server
-from thymeyoke.port import actions, facts
-from thymeyoke.port.facts import Repeat
-
-READ = facts.OpType(2.0, 6.0, Repeat.RETRYABLE, 1.0, 0.0, 0.0, True, 0.0, 0.0)
+from fakes.processes import Spent
+from thymeyoke.admission import actions, settings
+from thymeyoke.admission.controller import Choice
+from thymeyoke.admission.settings import Repeat
+from thymeyoke.configuration import start_file
+from thymeyoke.runtime import logs
+from thymeyoke.server import lifecycle
+
+READ = settings.OpType(2.0, 6.0, Repeat.RETRYABLE, 1.0, 0.0, 0.0, True, 0.0, 0.0)
 KEYED = READ._replace(repeat=Repeat.KEYED, key_window=10.0)
 ONCE = READ._replace(repeat=Repeat.NON_RETRYABLE, importance=3.0)
 POORER = READ._replace(poorer_share=0.5)
@@ -32,11 +33,11 @@
 FACTS: dict[str, Any] = {
     "seed": 7,
     "op_types": KINDS,
-    "machine": facts.Machine(4, 4000.0, 4.0, 5.0, 0.002, facts.Halt.NOTHING, ("busy",)),
-    "survival": facts.Survival(8.0, 2.0, False, 0.25, 20.0),
-    "duty": facts.Duty(0.06, 2.0),
-    "dependency": facts.Dependency(facts.Below.TIER, 0.0, 0.0, 0.2),
-    "callers": facts.Callers(3, facts.Signal.FLOOR, 1.0, 1.0, False, 30.0, 0.0, False),
+    "machine": settings.Machine(4, 4000.0, 4.0, 5.0, 0.002, settings.Halt.NOTHING, ("busy",)),
+    "survival": settings.Survival(8.0, 2.0, False, 0.25, 20.0),
+    "duty": settings.Duty(0.06, 2.0),
+    "dependency": settings.Dependency(settings.Below.TIER, 0.0, 0.0, 0.2),
+    "callers": settings.Callers(3, settings.Signal.FLOOR, 1.0, 1.0, False, 30.0, 0.0, False),
     "tenants": (),
 }
 
@@ -55,7 +56,7 @@
     def op(self, id: int, type: int = 0, caller: int = 0, **more: Any) -> None:
         given = {"size": 10.0, "subject": None, "hint": 0.0, "further": False, "write": False,
                  "repeats": None, "prio": 0.5, "left": 6.0, "unread": 0.0, "tenant": 0, **more}  # fmt: skip
-        self.yoke.take(self.now, facts.Op(id=id, type=type, caller=caller, **given))
+        self.yoke.take(self.now, settings.Op(id=id, type=type, caller=caller, **given))
 
     def settle(self, later: float = 0.0) -> list[Any]:
         self.now += later
@@ -70,7 +71,7 @@
     def end(self, *ids: int, later: float = 0.0) -> None:
         self.now += later
         for id in ids:
-            self.yoke.ended(self.now, id, facts.Outcome.OK)
+            self.yoke.ended(self.now, id, settings.Outcome.OK)
 
     def learned(self, took: float, type: int = 0) -> None:
         """Give an op type its history: one run of `took` seconds."""
@@ -165,8 +166,8 @@
     return found
 
 
-log.logger.addHandler(logging.NullHandler())
-log.logger.propagate = False
+logs.logger.addHandler(logging.NullHandler())
+logs.logger.propagate = False
 
 
 def told(**changed: Any) -> dict[str, Any]:
@@ -194,18 +195,25 @@
                      "naming": self.roster.port}  # fmt: skip
         given = told(**{name: f"127.0.0.1:{port}" for name, port in addresses.items()} | changed)
 
-        def again() -> start.Station:
-            if isinstance(self.start, start.BadStart):
+        def again() -> start_file.Station:
+            if isinstance(self.start, start_file.BadStart):
                 raise self.start
-            return start.station(self.start)
+            return start_file.station(self.start)
 
         async def run(*, task_status: Any) -> None:
-            await server.serve(
-                start.station(given), start.names(given["settings"]), start.start(7, given["settings"]),
-                again, orders, task_status=task_status)  # fmt: skip
+            await lifecycle.serve(
+                start_file.station(given),
+                start_file.names(given["settings"]),
+                start_file.start(7, given["settings"]),
+                again,
+                orders,
+                task_status=task_status,
+            )
             self.ended.set()
 
-        self.start: dict[str, Any] | start.BadStart = given  # what the start file says when it is read again
+        self.start: dict[str, Any] | start_file.BadStart = (
+            given  # what the start file says when it is read again
+        )
         self.where = await self.tasks.start(run)
 
     async def router(self) -> Router:
@@ -231,5 +239,15 @@
 
 
 __all__ = [
-    "KINDS", "TAKEN", "Place", "Server", "actions", "facts", "place", "steady", "told", "tries", "until",
+    "KINDS",
+    "TAKEN",
+    "Place",
+    "Server",
+    "actions",
+    "place",
+    "settings",
+    "steady",
+    "told",
+    "tries",
+    "until",
 ]  # fmt: skip
--- a/tests/characterization/test_admission.py
+++ b/tests/characterization/test_admission.py
@@ -11,9 +11,9 @@
 
 import orjson
 
-from standins.platform import Platform
+from fakes.platform import Platform
 from tests.characterization.recording import DATA, compare, read_lines
-from thymeyoke.drill import __main__ as simulator
+from thymeyoke.simulator import __main__ as simulator
 
 BASE: dict[str, Any] = {
     "request_classes": [
--- a/tests/characterization/test_codecs.py
+++ b/tests/characterization/test_codecs.py
@@ -17,32 +17,32 @@
 from benchmarks.simulated import Size, members, moves, seats
 from tests.characterization.recording import compare, plain
 from thymeyoke.affinity import wire as affinity_wire
-from thymeyoke.announce import attributes
-from thymeyoke.announce import wire as bgp
+from thymeyoke.bgp import attributes
+from thymeyoke.bgp import wire as bgp
+from thymeyoke.configuration.start_file import Address, Names
 from thymeyoke.ledger import wire as ledger
-from thymeyoke.ledger.entries import Amounts, Kind, Line
-from thymeyoke.members import wire as membership_wire
-from thymeyoke.moves import wire as migration_wire
-from thymeyoke.net import database, mail, processor, roster, rpc
-from thymeyoke.start import Address, Names
+from thymeyoke.ledger.usage_entries import Amounts, Kind, Line
+from thymeyoke.membership import wire as membership_wire
+from thymeyoke.migration import wire as migration_wire
+from thymeyoke.server import dependency, endpoint_registry, messages, processor, routers_wire
 
 CODES: dict[type, str | None] = {
-    rpc.Ask: "request",
-    rpc.Check: "check",
-    rpc.Cancel: "cancel",
-    rpc.Unclear: "unclear",
-    mail.Up: "up",
-    mail.Ended: "ended",
-    mail.Asked: "call",
-    mail.Synced: "synced",
-    mail.Gauges: "gauges",
-    mail.Refused: "refused",
-    mail.Begin: "begin",
-    mail.Interrupt: "interrupt",
-    mail.TakeUp: "resume",
-    mail.Without: "without",
-    mail.Reply: "reply",
-    mail.Gauge: "gauge",
+    routers_wire.Ask: "request",
+    routers_wire.Check: "check",
+    routers_wire.Cancel: "cancel",
+    routers_wire.Unclear: "unclear",
+    messages.Up: "up",
+    messages.Ended: "ended",
+    messages.Asked: "call",
+    messages.Synced: "synced",
+    messages.Gauges: "gauges",
+    messages.Refused: "refused",
+    messages.Begin: "begin",
+    messages.Interrupt: "interrupt",
+    messages.TakeUp: "resume",
+    messages.Without: "without",
+    messages.Reply: "reply",
+    messages.Gauge: "gauge",
     bgp.Open: "open",
     bgp.Update: "update",
     bgp.Notification: "notification",
@@ -55,12 +55,12 @@
     ledger.Refused: "refused",
 }
 COMMANDS = {
-    mail.Begin: "begin",
-    mail.Interrupt: "interrupt",
-    mail.TakeUp: "resume",
-    mail.Without: "without",
-    mail.Reply: "reply",
-    mail.Gauge: "gauge",
+    messages.Begin: "begin",
+    messages.Interrupt: "interrupt",
+    messages.TakeUp: "resume",
+    messages.Without: "without",
+    messages.Reply: "reply",
+    messages.Gauge: "gauge",
 }
 NAMES = Names({"look": 0, "buy": 1}, {"north": 0, "south": 1})
 FIELDS = {
@@ -141,10 +141,10 @@
         found = []
         for frame in frames:
             data = msgpack.packb(frame)
-            reader = rpc.Reader(NAMES)
+            reader = routers_wire.Reader(NAMES)
             found.append([data.hex(), attempt(lambda r=reader, d=data: r.feed(d)), reader.half()])
         for data in (msgpack.packb(frames[0])[:20], b"\xc1", msgpack.packb([0, 7, "alive", [{}]]) * 2):
-            reader = rpc.Reader(NAMES)
+            reader = routers_wire.Reader(NAMES)
             found.append([data.hex(), attempt(lambda r=reader, d=data: r.feed(d)), reader.half()])
         # An unclear request is told by its number; the reason is a text for people.
         for row in found:
@@ -155,29 +155,31 @@
         compare(self, "codecs/router_reading", lines(found))
 
     def test_writing(self) -> None:
-        verdicts = {"ack": mail.Verdict.ACK, "nack": mail.Verdict.NACK, "fail": mail.Verdict.FAIL}
+        verdicts = {"ack": messages.Verdict.ACK, "nack": messages.Verdict.NACK, "fail": messages.Verdict.FAIL}
         found = []
         for name, verdict in verdicts.items():
             for value in (None, 0.0, 0.35, 12.0):
                 for wait, nowhere in ((0.0, False), (0.25, True), (1.0, False)):
-                    answer = mail.Answer(17, verdict, b"result", value, wait, nowhere)
-                    found.append([name, value, wait, nowhere, rpc.encode(answer).hex()])
+                    answer = messages.Answer(17, verdict, b"result", value, wait, nowhere)
+                    found.append([name, value, wait, nowhere, routers_wire.encode(answer).hex()])
         for fit in (True, False):
             for value in (None, 0.5):
-                found.append(["check", fit, value, rpc.encode(mail.Fitness(18, fit, value)).hex()])
-        found.append(["leaving", rpc.encode(mail.Leaving()).hex()])
+                found.append(
+                    ["check", fit, value, routers_wire.encode(messages.Fitness(18, fit, value)).hex()]
+                )
+        found.append(["leaving", routers_wire.encode(messages.Leaving()).hex()])
         compare(self, "codecs/router_writing", lines(found))
 
 
 class ProcessorWire(unittest.TestCase):
     def test_writing(self) -> None:
         commands: list[Any] = [
-            mail.Begin("a1", 1, b"\0body"),
-            mail.Reply("a1", b"rows"),
-            mail.Interrupt("a1"),
-            mail.TakeUp("a1"),
-            mail.Without("a1"),
-            mail.Gauge(),
+            messages.Begin("a1", 1, b"\0body"),
+            messages.Reply("a1", b"rows"),
+            messages.Interrupt("a1"),
+            messages.TakeUp("a1"),
+            messages.Without("a1"),
+            messages.Gauge(),
             processor.Sync(3),
         ]
         found = [processor.encode(command, ["look", "buy"]) for command in commands]
@@ -225,9 +227,9 @@
 class DatabaseWire(unittest.TestCase):
     def test_writing(self) -> None:
         for_now = [
-            database.encode(mail.Call("a1", 10.0 + span, b"q\r\n"), 10.0) for span in (0.0, 0.0012, 2.5)
+            dependency.encode(messages.Call("a1", 10.0 + span, b"q\r\n"), 10.0) for span in (0.0, 0.0012, 2.5)
         ]
-        found = [*for_now, database.encode(mail.GiveUp("a1"), 10.0)]
+        found = [*for_now, dependency.encode(messages.GiveUp("a1"), 10.0)]
         compare(self, "codecs/database_writing", [data.hex().encode() for data in found])
 
     def test_reading(self) -> None:
@@ -249,7 +251,7 @@
         ]
         found = []
         for data in cases:
-            reader = database.Reader()
+            reader = dependency.Reader()
             found.append([data.hex(), attempt(lambda r=reader, d=data: r.feed(d)), reader.rest.hex()])
         compare(self, "codecs/database_reading", lines(found))
 
@@ -272,7 +274,7 @@
             thread.start()
 
             async def report() -> None:
-                client = roster.Roster(Address("127.0.0.1", port), "app/1 a")
+                client = endpoint_registry.Roster(Address("127.0.0.1", port), "app/1 a")
                 await client._report()
                 client.fit = False
                 await client._report()
--- a/tests/characterization/test_decisions.py
+++ b/tests/characterization/test_decisions.py
@@ -6,16 +6,16 @@
 from typing import Any
 
 from benchmarks.simulated import Size, cold, members, moves, seats
-from standins.simulated_cold import Process
+from fakes.simulated_slow_start import Process
 from tests.characterization.recording import Recorder, compare
-from thymeyoke.affinity import decide as affinity
-from thymeyoke.coldstart.budget import Budget
-from thymeyoke.coldstart.decide import ColdStart
-from thymeyoke.coldstart.pace import Pace
-from thymeyoke.coldstart.waits import Waits
-from thymeyoke.members import decide as membership
-from thymeyoke.members.news import Noted
-from thymeyoke.moves import decide as migration
+from thymeyoke.affinity import controller as affinity
+from thymeyoke.membership import controller as membership
+from thymeyoke.membership.gossip import Noted
+from thymeyoke.migration import controller as migration
+from thymeyoke.slow_start.backoff import Waits
+from thymeyoke.slow_start.controller import ColdStart
+from thymeyoke.slow_start.rate_limiter import Pace
+from thymeyoke.slow_start.retry_budget import Budget
 
 SMALL = Size(seed=7, servers=6, nodes=3, tenants=12, customers=60)
 FEW = Size(seed=7, servers=5, nodes=3, tenants=8, customers=20)
--- a/tests/characterization/test_files.py
+++ b/tests/characterization/test_files.py
@@ -17,11 +17,11 @@
 import orjson
 
 from tests.characterization.recording import DATA, compare, plain
-from thymeyoke import orders, start
-from thymeyoke.ledger import book, vault
-from thymeyoke.ledger.book import Book
-from thymeyoke.ledger.entries import Amounts, Kind, Use
-from thymeyoke.ledger.vault import Vault
+from thymeyoke.configuration import service_config, start_file
+from thymeyoke.ledger import export_store, usage_journal
+from thymeyoke.ledger.export_store import Vault
+from thymeyoke.ledger.usage_entries import Amounts, Kind, Use
+from thymeyoke.ledger.usage_journal import Book
 
 FILES = DATA / "files"
 PERIOD = 60  # seconds
@@ -33,7 +33,7 @@
 
 class Configuration(unittest.TestCase):
     def test_start_file(self) -> None:
-        station, names, given = start.read(FILES / "start.json")
+        station, names, given = start_file.read(FILES / "start.json")
         rows = [
             plain(station, {}),
             plain(names, {}),
@@ -44,7 +44,7 @@
     def test_service_configuration(self) -> None:
         rows = []
         for name in ("server.ini", "node.ini"):
-            for section, value in orders.read(FILES / name).items():
+            for section, value in service_config.read(FILES / name).items():
                 text = repr(plain_text(value))
                 rows.append([name, section, text])
         compare(self, "files/service_configuration", lines(rows))
@@ -128,8 +128,8 @@
     def made(self) -> tuple[Path, Path]:
         """Both stores, as the program writes them."""
         with (
-            mock.patch.object(book, "token_bytes", lambda size: b"\1" * size),
-            mock.patch.object(vault, "token_bytes", lambda size: b"\2" * size),
+            mock.patch.object(usage_journal, "token_bytes", lambda size: b"\1" * size),
+            mock.patch.object(export_store, "token_bytes", lambda size: b"\2" * size),
         ):
             store = Book(self.folder / "book", PERIOD, durable=False)
             received = Vault(self.folder / "vault")
@@ -151,7 +151,7 @@
                 whole.execute("PRAGMA journal_mode = DELETE")
                 whole.close()
                 target.write_bytes(gzip.compress(path.read_bytes(), mtime=0))
-        for name, file in (("book", book.FILE), ("vault", vault.FILE)):
+        for name, file in (("book", usage_journal.FILE), ("vault", export_store.FILE)):
             folder = self.folder / f"recorded-{name}"
             folder.mkdir()
             (folder / file).write_bytes(gzip.decompress(recorded[name].read_bytes()))
--- a/tests/conformance/test_design.py
+++ b/tests/conformance/test_design.py
@@ -1,5 +1,5 @@
-"""Every row of docs/design.md, played on `Choice`. Figures in comments follow from those in `tests.server`:
-four cores, a target of two seconds, a beat of 0.06 s, 95% of 4,000 kB."""
+"""Every row of docs/design.md, played on `Choice`. Figures in comments follow from those in
+`tests.app_server`: four cores, a target of two seconds, a beat of 0.06 s, 95% of 4,000 kB."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 from typing import Any
 from unittest import mock
 
+from tests.app_server import KINDS, Server, actions, settings
 from tests.conformance.tables import Row, played, rows
-from tests.server import KINDS, Server, actions, facts
-from thymeyoke import choice
-from thymeyoke.choice import STEADY, Calls, Choice, Hold, Job, Pace, RunLimit
+from thymeyoke.admission import controller
+from thymeyoke.admission.controller import STEADY, Calls, Choice, Hold, Job, Pace, RunLimit
 
 PAGE, SECTIONS = "docs/design.md", ("Rules", "Exceptions as rows")
-Act, Outcome, Signal = actions, facts.Outcome, facts.Signal
+Act, Outcome, Signal = actions, settings.Outcome, settings.Signal
 READ, KEYED, ONCE, POORER = KINDS
 
 
@@ -245,7 +245,7 @@
 
 
 LONG = READ._replace(target=60.0, timeout=90.0)
-SHARED = facts.Dependency(facts.Below.SHARED, 3.0, 5.0, 0.2)
+SHARED = settings.Dependency(settings.Below.SHARED, 3.0, 5.0, 0.2)
 
 
 def below(part: float, **more: Any) -> dict[str, Any]:
@@ -256,7 +256,7 @@
     return {"callers": changed}
 
 
-def kinds(*types: facts.OpType) -> dict[str, Any]:
+def kinds(*types: settings.OpType) -> dict[str, Any]:
     return {"op_types": types}
 
 
@@ -281,7 +281,7 @@
     ("D-3", lambda s: (s.ops(*[0] * 6), s.ops(1, first=9), s.ids(Act.Pause), s.ends(0), s.ends(1)),
      ((R4, [], [], [9], [4]), {})),
     ("D-4", lambda s: sorted(s.batch(*({"caller": id, "tenant": id // 4} for id in range(5))).ids(Act.Run)),
-     ([0, 1, 2, 4], {"tenants": (facts.Tenant(0.5, 10.0),) * 2}), (R4, {"tenants": ()})),
+     ([0, 1, 2, 4], {"tenants": (settings.Tenant(0.5, 10.0),) * 2}), (R4, {"tenants": ()})),
     ("D-5", lambda s: (
         s.ops(0, 1, 2, 3),
         s.batch({"caller": 4, "unread": 0.1}, {"caller": 5, "unread": 0.5}, first=10).ids(Act.Run),
@@ -431,11 +431,11 @@
                             [type(did) for did in s.beats(1).saw(Act.Pause, Act.Fail)])[1],
        (did, {"machine": {"halt": halt}}, kind))
       for id, did, kind, halt in [
-          ("X-9", STOPPED, 0, facts.Halt.PAUSE), ("X-9", STOPPED, 0, facts.Halt.DROP),
-          ("X-11", FAILED, 1, facts.Halt.PAUSE), ("X-11", FAILED, 2, facts.Halt.PAUSE),
-          ("X-11", FAILED, 0, facts.Halt.NOTHING)]),
+          ("X-9", STOPPED, 0, settings.Halt.PAUSE), ("X-9", STOPPED, 0, settings.Halt.DROP),
+          ("X-11", FAILED, 1, settings.Halt.PAUSE), ("X-11", FAILED, 2, settings.Halt.PAUSE),
+          ("X-11", FAILED, 0, settings.Halt.NOTHING)]),
     ("X-10", lambda s: (s.ops(0), s.gone(0).each(Act.Pause, Act.Fail)),
-     (([0], [[0], []]), {"machine": {"halt": facts.Halt.PAUSE}})),
+     (([0], [[0], []]), {"machine": {"halt": settings.Halt.PAUSE}})),
     *((id, lambda s, held: (s.at_calls(0, 0), s.ops(*range(4 + held), first=10, type=1, left=90.0),
                             s.beats(1, later=2.05).ids(Act.Fail))[2],
        (failed, below(1.2) | kinds(READ._replace(late_share=late), LONG), held))
@@ -523,7 +523,7 @@
     """What does nothing."""
 
 
-def taken_as(**changed: Any) -> Callable[[Choice, float, facts.Op], None]:
+def taken_as(**changed: Any) -> Callable[[Choice, float, settings.Op], None]:
     return lambda self, now, op: TAKE(self, now, op._replace(**changed))
 
 
@@ -536,14 +536,14 @@
     return max((line[-1] for line in self.lines.values()), key=lambda job: job.reached, default=None)
 
 
-def any_wish(self: Choice, job: Job, want: choice.Want) -> None:
+def any_wish(self: Choice, job: Job, want: controller.Want) -> None:
     job.want = want
     self.changed.append(job)
 
 
 def freed(self: Choice, now: float, job: Job) -> None:
     job.answered = True
-    self._move(now, job, choice.At.GONE)
+    self._move(now, job, controller.At.GONE)
 
 
 def each_age(self: Calls, now: float, ages: list[float]) -> None:
@@ -562,7 +562,7 @@
     ("X-29", "STORM", 0.9), ("X-29", "STORM", 0.1), ("X-32", "FEW_LINKS", 99), ("X-36", "MEMORY_FILL", 9.0),
 )  # fmt: skip
 MUTANTS: list[tuple[str, object, str, Any]] = [
-    *((id, choice, name, number) for id, name, number in NUMBERS),
+    *((id, controller, name, number) for id, name, number in NUMBERS),
     ("D-2", Hold, "next", unlent),
     ("D-4", Choice, "take", lambda self, now, op: TAKE(self, now, op._replace(tenant=op.caller))),
     ("D-5", Hold, "next", youngest),
@@ -579,8 +579,8 @@
     ("D-23", Choice, "_answered", freed),
     ("D-24", Choice, "gone", none),
     ("D-26", Choice, "take", taken_as(repeats=None)),
-    ("D-31", facts, "NEVER_RAN", frozenset(Outcome)),
-    ("D-31", facts, "NEVER_RAN", frozenset()),
+    ("D-31", settings, "NEVER_RAN", frozenset(Outcome)),
+    ("D-31", settings, "NEVER_RAN", frozenset()),
     ("D-34", Choice, "leave", none),
     ("D-35", Choice, "take", taken_as(unread=0.0)),
     ("D-36", Choice, "take", taken_as(unread=1.0)),
@@ -596,7 +596,7 @@
     ("X-19", Pace, "fade", none),
     ("X-23", Calls, "watch", none),
     ("X-24", Calls, "watch", each_age),
-    ("X-37", choice, "STEADY", 1),
+    ("X-37", controller, "STEADY", 1),
 ]
 
 
--- a/tests/conformance/test_pages.py
+++ b/tests/conformance/test_pages.py
@@ -13,7 +13,7 @@
 from tests.conformance import tables
 from tests.conformance.tables import DASH, ROOT, Row, played, rows
 
-PAGES = ("coldstart", "members", "affinity", "moves", "node")
+PAGES = ("slow_start", "membership", "affinity", "migration", "proxy")
 
 
 def wrong(states: list[Row]) -> list[str]:
--- a/tests/conformance/test_running.py
+++ b/tests/conformance/test_running.py
@@ -14,12 +14,12 @@
 
 import anyio
 
-from examples.standins import Database, Processor, Router
+from examples.fakes import Database, Processor, Router
+from tests.app_server import Place, place, tries
 from tests.conformance.tables import played
 from tests.conformance.test_design import TAKE, none, table, taken_as
-from tests.server import Place, place, tries
-from thymeyoke import choice
-from thymeyoke.choice import Choice, Pace
+from thymeyoke.admission import controller
+from thymeyoke.admission.controller import Choice, Pace
 
 SOON = {"settings__contract__drain_grace_us": 300000}  # a grace of 0.2 s
 KEY = {"method": "buy", "replay": "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"}
@@ -422,11 +422,11 @@
     "-".join(name.split("_")[:2]): case for name, case in vars(Cases).items() if name[0] in "DX"
 }
 MUTANTS: list[tuple[str, object, str, Any]] = [
-    ("D-1", choice, "SHARE", 1.0),
+    ("D-1", controller, "SHARE", 1.0),
     ("D-4", Choice, "take", lambda self, now, op: TAKE(self, now, op._replace(tenant=op.caller))),
     ("D-12", Choice, "_misses", lambda *_: False),
     ("D-26", Choice, "take", taken_as(repeats=None)),
-    ("D-41", choice, "CROWD_FILL", 9.0),
+    ("D-41", controller, "CROWD_FILL", 9.0),
     ("X-7", Choice, "_stale", lambda *_: False),
     ("X-19", Pace, "fade", none),
 ]
--- a/tests/drills/play.py
+++ b/tests/fault_injection/play.py
@@ -11,8 +11,8 @@
 from contextlib import asynccontextmanager
 from typing import Any
 
-from standins.customers import Crowd, described
-from standins.processes import STARVED, Drill, drill
+from fakes.clients import Crowd, described
+from fakes.processes import STARVED, Drill, drill
 
 MOST_STARVED = 0.2  # share of a drill's time: one that failed is played again from it on
 PLAYS = 3
--- a/tests/drills/test_seats.py
+++ b/tests/fault_injection/test_affinity.py
@@ -6,10 +6,10 @@
 
 import anyio
 
-from standins.customers import Crowd, Line, source
-from standins.processes import GO_ON, KILL, MARGIN, STOP, TERM, Drill, drill
-from tests.drills.play import Drills, fleet
-from tests.drills.test_members import DEAD
+from fakes.clients import Crowd, Line, source
+from fakes.processes import GO_ON, KILL, MARGIN, STOP, TERM, Drill, drill
+from tests.fault_injection.play import Drills, fleet
+from tests.fault_injection.test_membership import DEAD
 
 LATE = 2.0  # seconds that the fleet has to see what happened, on a busy machine
 SOME = range(1, 25)
--- a/tests/drills/test_bad_input.py
+++ b/tests/fault_injection/test_bad_input.py
@@ -8,14 +8,14 @@
 
 import anyio
 
-from examples.standins import LOST
-from standins.processes import AGAIN, TERM, Drill
-from tests.drills.play import Drills, fleet
-from tests.drills.test_members import found_dead
-from thymeyoke.members import wire
-from thymeyoke.members.news import Kind, Message, Rumour, Verdict
-from thymeyoke.members.trust import Layer, Said
-from thymeyoke.members.view import Load, Snapshot, State
+from examples.fakes import LOST
+from fakes.processes import AGAIN, TERM, Drill
+from tests.fault_injection.play import Drills, fleet
+from tests.fault_injection.test_membership import found_dead
+from thymeyoke.membership import wire
+from thymeyoke.membership.failure_detector import Layer, Said
+from thymeyoke.membership.gossip import Kind, Message, Rumour, Verdict
+from thymeyoke.membership.view import Load, Snapshot, State
 
 ADDRESS = "127.0.0.1:9"
 TOMORROW = int((time.time() + 2 * 86400) * 1000)
--- a/tests/drills/test_defences.py
+++ b/tests/fault_injection/test_defences.py
@@ -4,8 +4,8 @@
 
 import unittest
 
-from standins.processes import ROOT
-from tests.drills.defences import DEFENCES
+from fakes.processes import ROOT
+from tests.fault_injection.defences import DEFENCES
 
 
 class Defences(unittest.TestCase):
@@ -19,6 +19,8 @@
     def test_each_drill_is_there(self) -> None:
         for defence in DEFENCES:
             with self.subTest(drill=defence.drill):
-                loaded = unittest.defaultTestLoader.loadTestsFromName(f"tests.drills.{defence.drill}")
+                loaded = unittest.defaultTestLoader.loadTestsFromName(
+                    f"tests.fault_injection.{defence.drill}"
+                )
                 self.assertEqual(loaded.countTestCases(), 1)
                 self.assertNotIn("_FailedTest", repr(loaded))
--- a/tests/drills/test_links.py
+++ b/tests/fault_injection/test_faulty_links.py
@@ -13,10 +13,10 @@
 import anyio
 from anyio.abc import SocketAttribute, SocketStream
 
-from examples.standins import LOST, StandIn
-from standins import link as link_module
-from standins.link import BACK, FAULTS, THERE, Fault, Link, drawn
-from standins.processes import Timeline, peak
+from examples.fakes import LOST, StandIn
+from fakes import faulty_link as link_module
+from fakes.faulty_link import BACK, FAULTS, THERE, Fault, Link, drawn
+from fakes.processes import Timeline, peak
 
 
 class Echo(StandIn):
--- a/tests/drills/test_members.py
+++ b/tests/fault_injection/test_membership.py
@@ -6,9 +6,9 @@
 
 import anyio
 
-from standins.link import BACK, THERE
-from standins.processes import GO_ON, KILL, STOP, Drill
-from tests.drills.play import Drills, fleet
+from fakes.faulty_link import BACK, THERE
+from fakes.processes import GO_ON, KILL, STOP, Drill
+from tests.fault_injection.play import Drills, fleet
 
 DEAD = "member now dead"
 FOUND = 15.0  # seconds: a death at some ten members and a period of 0.3, with room for a busy machine
--- a/tests/drills/test_moves.py
+++ b/tests/fault_injection/test_migration.py
@@ -13,11 +13,11 @@
 import anyio
 import orjson
 
-from standins.customers import Crowd, full_or_less
-from standins.processes import AGAIN, BUSY, GO_ON, ROOT, STOP, TERM, Drill, Node, drill
-from tests.drills.play import Drills
-from tests.drills.test_bad_input import letter, say
-from thymeyoke.members.view import Load, Snapshot, State
+from fakes.clients import Crowd, full_or_less
+from fakes.processes import AGAIN, BUSY, GO_ON, ROOT, STOP, TERM, Drill, Node, drill
+from tests.fault_injection.play import Drills
+from tests.fault_injection.test_bad_input import letter, say
+from thymeyoke.membership.view import Load, Snapshot, State
 
 MOVES = {"act": "move", "uneven": 2.0, "an_hour": 3600, "rest": 1, "settle": 3}
 TENANTS = ("north", "south")
--- a/tests/drills/test_moves_deaths.py
+++ b/tests/fault_injection/test_migration_deaths.py
@@ -6,9 +6,9 @@
 
 import anyio
 
-from standins.customers import Line, source
-from standins.processes import KILL, Drill
-from tests.drills.test_moves import FOUND, ON_THE_WAY, SHOWN, Moving, seen, uneven
+from fakes.clients import Line, source
+from fakes.processes import KILL, Drill
+from tests.fault_injection.test_migration import FOUND, ON_THE_WAY, SHOWN, Moving, seen, uneven
 
 FOUR = ("north", "south", "west", "east")
 ROOM = 12  # connections of the others, where one is to fill: twice those of a tenant
--- a/tests/drills/test_cuts.py
+++ b/tests/fault_injection/test_partitions.py
@@ -7,9 +7,9 @@
 
 import anyio
 
-from standins.customers import Crowd
-from tests.drills.play import Drills, fleet
-from tests.server import noted
+from fakes.clients import Crowd
+from tests.app_server import noted
+from tests.fault_injection.play import Drills, fleet
 
 
 class Cuts(Drills):
--- a/tests/drills/test_restarts.py
+++ b/tests/fault_injection/test_restarts.py
@@ -14,11 +14,11 @@
 
 import anyio
 
-from examples.standins import Router
-from standins.link import Link
-from standins.processes import AGAIN, KILL, TERM, AppServer, Drill, Named, Spent, drill
-from standins.routers import PATIENCE, Routers
-from tests.drills.play import Drills
+from examples.fakes import Router
+from fakes.faulty_link import Link
+from fakes.processes import AGAIN, KILL, TERM, AppServer, Drill, Named, Spent, drill
+from fakes.routers import PATIENCE, Routers
+from tests.fault_injection.play import Drills
 
 EFFECTS = {"look": "retryable", "buy": "dedup", "send": "fragile"}  # by class
 KEYED = "buy"
--- a/tests/drills/test_coldstart.py
+++ b/tests/fault_injection/test_slow_start.py
@@ -18,11 +18,11 @@
 
 import anyio
 
-from benchmarks.coldstart import SLACK, Hundreds
-from standins.below import WINDOW, Strength
-from standins.coldstart import Fault
-from standins.processes import PROGRAM, Change, changed
-from thymeyoke.coldstart.beat import KEEP, LATE, SPAN
+from benchmarks.slow_start import SLACK, Hundreds
+from fakes.dependency import WINDOW, Strength
+from fakes.processes import PROGRAM, Change, changed
+from fakes.slow_start import Fault
+from thymeyoke.slow_start.heartbeat import KEEP, LATE, SPAN
 
 MANY, RATE = 16, 3.0
 MORE = 8.0  # ops a second to each where half of the calls must still be some in each window
@@ -274,8 +274,10 @@
     def test_without_the_defence_all_come_at_once(self) -> None:
         """The same play, with late beats that go out at once and calls that do not mind a hold."""
         changes = (
-            Change("thymeyoke/coldstart/beat.py", "self.missed or self.late(now)", "True or self.late(now)"),
-            Change("thymeyoke/coldstart/decide.py", "        self.pace.stalled(now)\n", ""),
+            Change(
+                "thymeyoke/slow_start/heartbeat.py", "self.missed or self.late(now)", "True or self.late(now)"
+            ),
+            Change("thymeyoke/slow_start/controller.py", "        self.pace.stalled(now)\n", ""),
         )
         found = played(let_go, *changes)
         after = found.after
--- a/tests/test_affinity.py
+++ b/tests/test_affinity.py
@@ -17,17 +17,17 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from standins.simulated_seats import OLD, Facts, World
+from fakes.simulated_affinity import OLD, Facts, World
 from tests.conformance.tables import DASH, Row, played, rows
-from thymeyoke.affinity import merge, wire
-from thymeyoke.affinity.customers import customer
-from thymeyoke.affinity.decide import BESIDE, MARKS, SPAN, Handed, Phase, Ready, Seat, Seats, Tell, Why
-from thymeyoke.affinity.hashing import Places, marked, ranked
-from thymeyoke.affinity.merge import AHEAD, STAMP_TOP, Entry, Told
-from thymeyoke.affinity.share import Log, Peer
-from thymeyoke.affinity.stages import Fact, Server, Stage, step
-from thymeyoke.affinity.words import Ack, Ask, Marks, Message, Piece
-from thymeyoke.members.view import NAME_MOST, Member, Snapshot, State, Trust, View
+from thymeyoke.affinity import bindings, wire
+from thymeyoke.affinity.bindings import AHEAD, STAMP_TOP, Entry, Told
+from thymeyoke.affinity.clients import customer
+from thymeyoke.affinity.controller import BESIDE, MARKS, SPAN, Handed, Phase, Ready, Seat, Seats, Tell, Why
+from thymeyoke.affinity.messages import Ack, Ask, Marks, Message, Piece
+from thymeyoke.affinity.rendezvous import Places, marked, ranked
+from thymeyoke.affinity.replication import Log, Peer
+from thymeyoke.affinity.server_state import Fact, Server, Stage, step
+from thymeyoke.membership.view import NAME_MOST, Member, Snapshot, State, Trust, View
 
 PAGE = "docs/affinity.md"
 LINGER, MARGIN, MOST = 8.0, 1.0, 1000
@@ -619,7 +619,7 @@
 numbers = st.integers(0, (1 << 63) - 1)
 marks = st.frozensets(st.binary(min_size=4, max_size=4), max_size=5)
 told = st.builds(
-    Told, st.integers(0, merge.CUSTOMER_TOP), numbers, st.text(max_size=5), st.integers(0, 1 << 62),
+    Told, st.integers(0, bindings.CUSTOMER_TOP), numbers, st.text(max_size=5), st.integers(0, 1 << 62),
     st.integers(0, 1 << 40).map(lambda ms: ms / 1000))  # fmt: skip
 pieces = st.builds(Piece, *[numbers] * 5, st.lists(told, max_size=5).map(tuple),
                    st.builds(Marks, marks, marks, marks), st.booleans())  # fmt: skip
@@ -631,8 +631,8 @@
 class Laws(unittest.TestCase):
     @drawn_by_a_seed
     @given(tables, tables, tables)
-    def test_the_join(self, one: merge.Table, two: merge.Table, three: merge.Table) -> None:
-        join, below = merge.joined, merge.below
+    def test_the_join(self, one: bindings.Table, two: bindings.Table, three: bindings.Table) -> None:
+        join, below = bindings.joined, bindings.below
         self.assertEqual(join(join(one, two), three), join(one, join(two, three)))
         self.assertEqual(join(one, two), join(two, one))
         self.assertEqual(join(one, one), one)
@@ -645,7 +645,7 @@
     @given(said, st.randoms(use_true_random=False))
     def test_order_and_repetition_do_not_matter(self, said: list[tuple[int, int, str]], rng: Random) -> None:
         items = [Told(one, born, server, 1, 5.0) for one, born, server in said]
-        wanted = merge.table((item.customer, Entry(item.born, item.server, 1, 1007.0)) for item in items)
+        wanted = bindings.table((item.customer, Entry(item.born, item.server, 1, 1007.0)) for item in items)
         for _ in range(3):
             heard = [*items, *rng.sample(items, len(items) // 2)]
             rng.shuffle(heard)
@@ -695,7 +695,7 @@
         for at in range(many):
             one = seats.servers[f"{at:064}"] = Server(f"{at:064}", (1 << 62) + at)
             one.stage = Stage.RIPE
-            seats._keep(0.0, merge.CUSTOMER_TOP - at, one.name)
+            seats._keep(0.0, bindings.CUSTOMER_TOP - at, one.name)
         seats.stamp = STAMP_TOP - 1
         seats._mark(0.0)
         behind, found = 0, 0
--- a/tests/test_announce.py
+++ b/tests/test_bgp.py
@@ -19,24 +19,25 @@
 from anyio.abc import SocketAttribute
 from click.testing import CliRunner
 
-from examples.standins import Processor
-from standins.bgp import BgpPeer
-from standins.fleet import free_port
-from standins.processes import Spent
-from tests.server import TAKEN, Place, place, steady, until
-from thymeyoke import control, orders
+from examples.fakes import Processor
+from fakes.bgp import BgpPeer
+from fakes.fleet import free_port
+from fakes.processes import Spent
+from tests.app_server import TAKEN, Place, place, steady, until
 from thymeyoke.__main__ import main
-from thymeyoke.announce import speaker as speaker_module
-from thymeyoke.announce import tcp, wire
-from thymeyoke.announce.announcer import Announcer
-from thymeyoke.announce.section import Announce, Peer
-from thymeyoke.announce.session import State, Timer
-from thymeyoke.announce.shown import nlri
-from thymeyoke.announce.wire import Refresh
-from thymeyoke.net import desk, log, server
-from thymeyoke.net.behind import Refused
-from thymeyoke.net.clock import clock as speaker_clock
-from thymeyoke.orders import HostPort
+from thymeyoke.bgp import peer_connection as speaker_module
+from thymeyoke.bgp import tcp, wire
+from thymeyoke.bgp.advertiser import Announcer
+from thymeyoke.bgp.configuration import Announce, Peer
+from thymeyoke.bgp.presentation import nlri
+from thymeyoke.bgp.session import State, Timer
+from thymeyoke.bgp.wire import Refresh
+from thymeyoke.configuration import service_config
+from thymeyoke.configuration.service_config import HostPort
+from thymeyoke.runtime import logs, status_socket
+from thymeyoke.runtime.clock import clock as speaker_clock
+from thymeyoke.runtime.extensions import Refused
+from thymeyoke.server import dispatcher, lifecycle
 
 ONE, SIX = "198.51.100.7/32", "2001:db8::7/128"
 ME = "192.0.2.1"
@@ -70,27 +71,27 @@
         self.path.write_text("\n".join(lines))
         return self.path
 
-    def read(self) -> orders.Orders:
-        return orders.read(self.write())
+    def read(self) -> service_config.Orders:
+        return service_config.read(self.write())
 
 
 @asynccontextmanager
 async def around(file: File, *peers: BgpPeer, **changed: Any) -> AsyncIterator[Place]:
     """A server with stand-in peers, by the names p0, p1 and so on."""
-    log.counts.clear()
+    logs.counts.clear()
     try:
         async with anyio.create_task_group() as tasks:
             for at, peer in enumerate(peers):
                 await tasks.start(peer.run)
                 file.peers.setdefault(f"p{at}", {})
                 file.peer(f"p{at}", peer, **file.peers[f"p{at}"])
-            desks: list[desk.Desk] = []
+            desks: list[dispatcher.Desk] = []
 
-            def desk_of(*given: Any) -> desk.Desk:
-                desks.append(desk.Desk(*given))
+            def desk_of(*given: Any) -> dispatcher.Desk:
+                desks.append(dispatcher.Desk(*given))
                 return desks[-1]
 
-            with mock.patch.object(server, "Desk", desk_of):
+            with mock.patch.object(lifecycle, "Desk", desk_of):
                 async with place(orders=file.read, **changed) as here:
                     here.desk = desks[0]
                     yield here
@@ -189,7 +190,7 @@
                     self.assertIn(code, {note.code for note in bad[fault].notes}, fault)
                 self.assertEqual(good[0].levels(ME), {True})
                 self.assertEqual([speakers[name].main.session.flaps for name in ("p0", "p1")], [0, 0])
-                self.assertEqual((log.counts["connection_error"], log.counts["announce_error"]), (0, 0))
+                self.assertEqual((logs.counts["connection_error"], logs.counts["announce_error"]), (0, 0))
 
         anyio.run(run)
 
@@ -211,7 +212,7 @@
                 await until(lambda: shown.others(ip_network(ONE)) == 1)
                 await peer._say(client, bad)
                 await until(lambda: shown.others(ip_network(ONE)) == 0)
-                self.assertEqual(log.counts["announce_treated_as_withdrawn"], 1)
+                self.assertEqual(logs.counts["announce_treated_as_withdrawn"], 1)
                 self.assertEqual(announcer(here).speakers["p0"].main.session.state, State.ESTABLISHED)
 
         anyio.run(run)
@@ -333,13 +334,13 @@
 
                 here.tasks.start_soon(load)
                 await anyio.sleep(0.3)
-                with self.assertLogs(log.logger, "INFO") as logs:
+                with self.assertLogs(logs.logger, "INFO") as captured:
                     spent = Spent()
                     term()
                     await until(lambda: not peer.routes())
                     self.assertLess(spent.seconds(peer.log[-1].at), 1.5)
-                    await until(lambda: any(line.msg == "door shut" for line in logs.records))
-                door = next(line.created for line in logs.records if line.msg == "door shut")
+                    await until(lambda: any(line.msg == "door shut" for line in captured.records))
+                door = next(line.created for line in captured.records if line.msg == "door shut")
                 self.assertLess(peer.log[-1].at, door)
                 self.assertEqual([seen.what for seen in peer.log[-2:]], ["withdraw"] * 2)
 
@@ -360,7 +361,7 @@
                 with_bad = file.options | {"hold": 3}
                 file.options, good = with_bad, file.options
                 hup()
-                await until(lambda: log.counts["orders_bad"] == 1)
+                await until(lambda: logs.counts["orders_bad"] == 1)
                 file.options = good
                 self.assertEqual((len(first.routes()), first.levels(ME)), (1, {True}))
                 gone = file.peers.pop("p1")  # a peer
@@ -419,7 +420,7 @@
                     await extra.aclose()
                     await peer.cut()
                     await until(lambda: announcer(here).speakers["p0"].main.session.state == State.ACTIVE)
-                self.assertEqual(log.counts["announce_strangers"], 2)
+                self.assertEqual(logs.counts["announce_strangers"], 2)
 
         anyio.run(run)
 
@@ -477,7 +478,9 @@
                 self.assertIn("peer p1: no session", text)
                 self.assertEqual((await say("why", "10.0.0.1"))[0], 1)
                 self.assertEqual((await say("why", "here"))[0], 2)
-                found = await anyio.to_thread.run_sync(control.ask, Path(file.options["control"]), "server")
+                found = await anyio.to_thread.run_sync(
+                    status_socket.ask, Path(file.options["control"]), "server"
+                )
                 self.assertEqual([row["level"] for row in found["addresses"]], ["full", "full"])
 
         anyio.run(run)
--- a/tests/test_announce_decide.py
+++ b/tests/test_bgp_controller.py
@@ -10,13 +10,13 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from thymeyoke.announce import routes
-from thymeyoke.announce.attributes import GRACEFUL_SHUTDOWN, MARK, Heard, Path
-from thymeyoke.announce.decide import Bucket, Decider, Level, Look, Terms
-from thymeyoke.announce.section import Announce, Peer
-from thymeyoke.announce.shown import PATHS, Shown, nlri, place
-from thymeyoke.announce.wire import IPV4, IPV6, Agreed, Refresh
-from thymeyoke.orders import HostPort
+from thymeyoke.bgp import routes
+from thymeyoke.bgp.attributes import GRACEFUL_SHUTDOWN, MARK, Heard, Path
+from thymeyoke.bgp.configuration import Announce, Peer
+from thymeyoke.bgp.controller import Bucket, Decider, Level, Look, Terms
+from thymeyoke.bgp.presentation import PATHS, Shown, nlri, place
+from thymeyoke.bgp.wire import IPV4, IPV6, Agreed, Refresh
+from thymeyoke.configuration.service_config import HostPort
 
 ONE = ip_network("198.51.100.7/32")
 SIX = ip_network("2001:db8::7/128")
@@ -245,7 +245,7 @@
 
 
 class NeverNone(unittest.TestCase):
-    """docs/announce.md has the argument; here it is walked: while nobody dies, no crowd leaves zero paths."""
+    """docs/bgp.md has the argument; here it is walked: while nobody dies, no crowd leaves zero paths."""
 
     @settings(max_examples=150, derandomize=True, deadline=None, database=None)
     @given(crowds=CROWDS, many=st.integers(2, 4), least=st.integers(1, 2), seed=st.integers(0, 99))
--- a/tests/test_announce_fleet.py
+++ b/tests/test_bgp_fleet.py
@@ -8,10 +8,10 @@
 
 import anyio
 
-from standins.bgp import Seen
-from standins.fleet import CORES, FOLLOW, GO_ON, KILL, PATIENCE, SPAN, STOP, TERM, Fleet, Instance, Sent
-from standins.processes import Spent
-from tests.server import until
+from fakes.bgp import Seen
+from fakes.fleet import CORES, FOLLOW, GO_ON, KILL, PATIENCE, SPAN, STOP, TERM, Fleet, Instance, Sent
+from fakes.processes import Spent
+from tests.app_server import until
 
 HOLD, GRACE, DELAY = 3.0, 2.0, 0.05
 LATE = 0.5  # for turns of the loop, on a machine that does other things as well; what it took comes on top
--- a/tests/test_announce_session.py
+++ b/tests/test_bgp_session.py
@@ -8,9 +8,9 @@
 from itertools import pairwise
 from random import Random
 
-from thymeyoke.announce import session as bgp
-from thymeyoke.announce import wire
-from thymeyoke.announce.session import (
+from thymeyoke.bgp import session as bgp
+from thymeyoke.bgp import wire
+from thymeyoke.bgp.session import (
     TABLE,
     Down,
     Drop,
@@ -25,7 +25,7 @@
     Took,
     Up,
 )
-from thymeyoke.announce.wire import IPV4, IPV6, Cap, Capability, Code, Wrong
+from thymeyoke.bgp.wire import IPV4, IPV6, Cap, Capability, Code, Wrong
 
 MINE = Mine(64512, bytes((192, 0, 2, 1)), 64500, 3, (IPV4, IPV6))
 THEIRS = Mine(64500, bytes((192, 0, 2, 9)), 64512, 3, (IPV4, IPV6)).open()
--- a/tests/test_announce_wire.py
+++ b/tests/test_bgp_wire.py
@@ -9,9 +9,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from thymeyoke.announce import attributes, wire
-from thymeyoke.announce.attributes import At, Path, Route, Way, announcement, understand, withdrawal
-from thymeyoke.announce.wire import IPV4, IPV6, Agreed, Attribute, Cap, Capability, Nlri, Wrong
+from thymeyoke.bgp import attributes, wire
+from thymeyoke.bgp.attributes import At, Path, Route, Way, announcement, understand, withdrawal
+from thymeyoke.bgp.wire import IPV4, IPV6, Agreed, Attribute, Cap, Capability, Nlri, Wrong
 
 BOTH = Agreed(as4=True, families=frozenset((IPV4, IPV6)))
 MARKER = b"\xff" * 16
--- a/tests/test_closing.py
+++ b/tests/test_client_connection.py
@@ -15,23 +15,23 @@
 import anyio
 import msgpack
 
-from examples.standins import Router
-from tests.server import told, until
-from thymeyoke import start
-from thymeyoke.net import front, mail, rpc
-from thymeyoke.net.log import counts
+from examples.fakes import Router
+from tests.app_server import told, until
+from thymeyoke.configuration import start_file
+from thymeyoke.runtime.logs import counts
+from thymeyoke.server import listener, messages, routers_wire
 
-NAMES = start.names(told()["settings"])
+NAMES = start_file.names(told()["settings"])
 IDLE = 30.0
 
 
 class Pair(NamedTuple):
     """A server's connection and its client's end, with nothing else around them."""
 
-    hall: front.Front
-    connection: front.Connection
+    hall: listener.Front
+    connection: listener.Connection
     client: socket.socket
-    events: anyio.streams.memory.MemoryObjectReceiveStream[mail.Event]
+    events: anyio.streams.memory.MemoryObjectReceiveStream[messages.Event]
 
     def request(self, number: int, method: str = "look", **fields: str) -> bytes:
         frame = msgpack.unpackb(Router(mock.Mock()).frame(method, **fields)[1])
@@ -49,15 +49,15 @@
 
 @asynccontextmanager
 async def pair(idle: float = IDLE) -> AsyncIterator[Pair]:
-    listener = socket.create_server(("127.0.0.1", 0))
-    client = socket.create_connection(listener.getsockname())
-    ours, _ = listener.accept()
-    listener.close()
+    server_socket = socket.create_server(("127.0.0.1", 0))
+    client = socket.create_connection(server_socket.getsockname())
+    ours, _ = server_socket.accept()
+    server_socket.close()
     for end in (ours, client):
         end.setblocking(False)
-    inbox, events = anyio.create_memory_object_stream[mail.Event](64)
-    hall = front.Front(NAMES, front.SPARE_DESCRIPTORS + 1, idle, inbox)
-    connection = front.Connection(ours, NAMES, inbox)
+    inbox, events = anyio.create_memory_object_stream[messages.Event](64)
+    hall = listener.Front(NAMES, listener.SPARE_DESCRIPTORS + 1, idle, inbox)
+    connection = listener.Connection(ours, NAMES, inbox)
     hall.connections.add(connection)
     with inbox, events, client, anyio.fail_after(5):
         async with anyio.create_task_group() as tasks:
@@ -78,14 +78,14 @@
             half = at.request(3)[:20]
             at.client.send(at.request(1) + at.request(2) + half)
             await until(lambda: len(at.connection.open) == 2)
-            later(at, front.HALF_SAID + 1)
+            later(at, listener.HALF_SAID + 1)
             self.assertFalse(at.connection.scope.cancel_called)
             for number in (1, 2):
-                at.connection.tell(mail.Answer(number, mail.Verdict.ACK))
-                later(at, front.HALF_SAID + 1)
+                at.connection.tell(messages.Answer(number, messages.Verdict.ACK))
+                later(at, listener.HALF_SAID + 1)
                 self.assertFalse(at.connection.scope.cancel_called)
             await until(lambda: not at.connection.owed)
-            later(at, front.HALF_SAID + 1)
+            later(at, listener.HALF_SAID + 1)
             self.assertEqual([answer[:3] for answer in await at.answers()], [[1, 1, None], [1, 2, None]])
 
     async def test_a_number_that_is_open_is_used_for_nothing_else(self) -> None:
@@ -106,10 +106,10 @@
         """Every connection was told `leaving` at once where the settings name none; one that had been told
         and had an answer to be written was closed over it."""
         async with pair(idle=0.0) as at:
-            at.hall.tell(mail.Trim(0.0))
+            at.hall.tell(messages.Trim(0.0))
             at.client.send(msgpack.packb([0, 1, "alive", [{}]]))
             await until(lambda: at.connection.heard)
-            at.connection.tell(mail.Fitness(1, True, None))
+            at.connection.tell(messages.Fitness(1, True, None))
             await until(lambda: not at.connection.owed)
             later(at, 1e6)
             self.assertEqual(at.connection.leaving_since, math.inf)
@@ -128,18 +128,18 @@
                     at.client.send(at.request(1))
                     await until(lambda at=at: at.connection.open)
                     arrived = at.events.receive_nowait()
-                    at.connection.tell(mail.Answer(1, mail.Verdict.ACK))
+                    at.connection.tell(messages.Answer(1, messages.Verdict.ACK))
                     at.connection.scope.cancel()
                     at.client.send(late)
                     self.assertEqual([answer[:3] for answer in await at.answers()], [[1, 1, None]])
-                    self.assertIsInstance(arrived, mail.Arrived)
+                    self.assertIsInstance(arrived, messages.Arrived)
                     self.assertEqual(at.events.statistics().current_buffer_used, 0)
 
     async def test_what_comes_behind_the_end_of_the_sending_half(self) -> None:
         """The client had not read the end yet. What it wrote is dropped, and it is not reset for it, as long
         as something may cross the close; a full table does not wait for that."""
         for evicted in (False, True):
-            with self.subTest(evicted=evicted), mock.patch.object(front, "LINGER", 3.0, create=True):
+            with self.subTest(evicted=evicted), mock.patch.object(listener, "LINGER", 3.0, create=True):
                 async with pair() as at:
                     await anyio.wait_all_tasks_blocked()
                     if evicted:
@@ -165,9 +165,9 @@
                     for _ in range(turns):
                         await anyio.sleep(0)
                     self.assertFalse(at.hall._make_room())
-                    at.hall._look(at.connection.used + front.HALF_SAID + 1)
+                    at.hall._look(at.connection.used + listener.HALF_SAID + 1)
                     await until(lambda at=at: at.connection.open)
-                    at.connection.tell(mail.Answer(1, mail.Verdict.ACK))
+                    at.connection.tell(messages.Answer(1, messages.Verdict.ACK))
                     at.client.shutdown(socket.SHUT_WR)
                     self.assertEqual(len(await at.answers()), 1)
 
@@ -175,8 +175,8 @@
         """By hundreds of clients that say nothing: a place was given away before its descriptor was free, and
         the reserve for calls and reports went with it. Who is let in is heard, whatever descriptor it got."""
         many, places = 20, 4
-        inbox, events = anyio.create_memory_object_stream[mail.Event](64)
-        hall = front.Front(NAMES, front.SPARE_DESCRIPTORS + places, IDLE, inbox)
+        inbox, events = anyio.create_memory_object_stream[messages.Event](64)
+        hall = listener.Front(NAMES, listener.SPARE_DESCRIPTORS + places, IDLE, inbox)
         counts.clear()
         hall.door = socket.create_server(("127.0.0.1", 0), backlog=64)
         with inbox, events, hall.door, ExitStack() as ends:
@@ -223,22 +223,24 @@
         frame = msgpack.unpackb(Router(mock.Mock()).frame("look", b"body", lookup="7f3a")[1])
         frame[3][0]["unknown"] = "field"
         frames = [frame, [0, 8, "alive", [{}]], [2, "cancelRequest", [1]]]
-        expected = rpc.Reader(NAMES).feed(b"".join(map(msgpack.packb, frames)))
-        self.assertEqual([type(one) for one in expected], [rpc.Ask, rpc.Check, rpc.Cancel])
+        expected = routers_wire.Reader(NAMES).feed(b"".join(map(msgpack.packb, frames)))
+        self.assertEqual(
+            [type(one) for one in expected], [routers_wire.Ask, routers_wire.Check, routers_wire.Cancel]
+        )
         for form in range(36):
             data = b"".join(packed(form, one) for one in frames)
             self.assertEqual(list(msgpack.Unpacker(BytesIO(data))), frames)
             cuts = [[data[:at], data[at:]] for at in range(1, len(data))]
             for parts in [[data], [data[at : at + 1] for at in range(len(data))], *cuts]:
-                reader = rpc.Reader(NAMES)
+                reader = routers_wire.Reader(NAMES)
                 self.assertEqual([one for part in parts for one in reader.feed(part)], expected)
                 self.assertFalse(reader.half())
 
     def test_what_only_equals_an_integer_is_none(self) -> None:
         for frame in ([False, 7, "alive", [{}]], [0.0, 7, "alive", [{}]], [0, True, "alive", [{}]],
                       [2.0, "cancelRequest", [7]], [2, "cancelRequest", [True]]):  # fmt: skip
-            with self.subTest(frame=frame), self.assertRaises(rpc.BadFrame):
-                rpc.Reader(NAMES).feed(msgpack.packb(frame))
+            with self.subTest(frame=frame), self.assertRaises(routers_wire.BadFrame):
+                routers_wire.Reader(NAMES).feed(msgpack.packb(frame))
 
 
 if __name__ == "__main__":
--- a/tests/test_crossings.py
+++ b/tests/test_crossing_messages.py
@@ -9,16 +9,16 @@
 
 import anyio
 
-from examples.standins import Database, Processor, Roster
-from standins.dispatcher import KEYED, START, SimulatedDispatcher
-from tests.server import told
-from thymeyoke import start
-from thymeyoke.net import database, mail, processor, roster
-from thymeyoke.net.log import counts
-from thymeyoke.port.facts import Outcome
-from thymeyoke.start import Address
-
-NAMES = start.names(told()["settings"])
+from examples.fakes import Database, Processor, Roster
+from fakes.dispatcher import KEYED, START, SimulatedDispatcher
+from tests.app_server import told
+from thymeyoke.admission.settings import Outcome
+from thymeyoke.configuration import start_file
+from thymeyoke.configuration.start_file import Address
+from thymeyoke.runtime.logs import counts
+from thymeyoke.server import dependency, endpoint_registry, messages, processor
+
+NAMES = start_file.names(told()["settings"])
 SERVED, FAILED, REJECTED = ["acked"], ["failed"], ["nacked"]
 
 
@@ -49,7 +49,7 @@
         here.run_until(START + 1.0)
         here.hear(here.arrive("first"))
         notice = here.now
-        here.hear(mail.Leave(notice))
+        here.hear(messages.Leave(notice))
         while here.now < notice + stop and not here.desk.done:
             here.run_until(here.now + 0.005, late=0.004)
             if not here.desk.done:
@@ -58,19 +58,19 @@
         self.assertLess(here.now, notice + stop)
         self.assertEqual(counts["broken_answered_in_time"], broken)
         self.assertEqual({len(answers) for answers in here.answers.values()}, {1})
-        self.assertIn(mock.call(mail.Leaving()), here.front.tell.call_args_list)
+        self.assertIn(mock.call(messages.Leaving()), here.front.tell.call_args_list)
 
     def test_nobody_is_let_in_by_a_process_that_is_about_to_end(self) -> None:
         """With no connection at the notice the door once stood open until the end, and over its closing."""
         here = self.simulated()
         here.front.connections.clear()
         here.front.tell.side_effect = lambda _: here.front.connections.add("waited in the queue")
-        here.hear(mail.Leave(here.now))
-        self.assertEqual(here.front.tell.call_args_list[-1], mock.call(mail.Leaving()))
+        here.hear(messages.Leave(here.now))
+        self.assertEqual(here.front.tell.call_args_list[-1], mock.call(messages.Leaving()))
         here.run_until(START + 1.0)
         self.assertFalse(here.desk.done)
         here.front.connections.clear()
-        here.hear(mail.Emptied())
+        here.hear(messages.Emptied())
         here.run_until(START + 1.1)
         self.assertTrue(here.desk.done)
 
@@ -79,7 +79,7 @@
     def setUp(self) -> None:
         self.here = self.simulated()
 
-    def keyed(self, id: str, **changed: Any) -> mail.Arrived:
+    def keyed(self, id: str, **changed: Any) -> messages.Arrived:
         return self.here.arrive(id, KEYED, **changed)
 
     def test_of_tries_in_a_batch_whose_first_is_turned_away_one_is_run(self) -> None:
@@ -87,19 +87,19 @@
         here = self.here
         here.hear(self.keyed("history", key="f" * 32))
         here.now += 0.5
-        here.hear(mail.Ended("history", Outcome.OK, b""))
+        here.hear(messages.Ended("history", Outcome.OK, b""))
         here.hear(self.keyed("1", patience=0.3), *(self.keyed(id) for id in "234"))
         self.assertEqual(here.begun(), ["history", "2"])
-        here.hear(mail.Ended("2", Outcome.OK, b"made"))
+        here.hear(messages.Ended("2", Outcome.OK, b"made"))
         self.assertEqual(here.verdicts(*"1234"), [REJECTED, SERVED, SERVED, SERVED])
 
     def test_tries_in_one_batch_with_the_refusal_of_their_run(self) -> None:
         """The third one once found the request that had just ended, and had no answer."""
         here = self.here
         here.hear(self.keyed("1"))
-        here.hear(self.keyed("2"), mail.Refused("1", mail.Begin), self.keyed("3"))
+        here.hear(self.keyed("2"), messages.Refused("1", messages.Begin), self.keyed("3"))
         self.assertEqual(here.begun(), ["1", "3"])
-        here.hear(mail.Ended("3", Outcome.OK, b"made"))
+        here.hear(messages.Ended("3", Outcome.OK, b"made"))
         self.assertEqual(here.verdicts(*"123"), [FAILED, FAILED, SERVED])
 
     def test_a_try_within_the_window_is_not_run_whatever_came_between(self) -> None:
@@ -111,10 +111,10 @@
                 first, between, last = (f"{name} {ahead}" for name in ("first", "between", "last"))
                 key, end = f"{ahead:032}", here.now + window
                 here.hear(self.keyed(first, key=key))
-                here.hear(mail.Ended(first, Outcome.OK, b"made"))
+                here.hear(messages.Ended(first, Outcome.OK, b"made"))
                 here.run_until(end + moment)
                 here.hear(self.keyed(between, key=key, since=here.now + ahead, body=b"other"))
-                here.hear(mail.Refused(between, mail.Begin))
+                here.hear(messages.Refused(between, messages.Begin))
                 here.hear(self.keyed(last, key=key, since=end - 0.01))
                 self.assertNotIn(last, here.begun())
                 self.assertEqual([answer.body for answer in here.answers[last]], [b"made"])
@@ -123,20 +123,20 @@
         here = self.here
         here.hear(self.keyed("1"))
         here.hear(repeat := self.keyed("2"))
-        here.hear(mail.Gone("2", repeat.asker))
+        here.hear(messages.Gone("2", repeat.asker))
         here.hear(here.arrive("2"))
-        here.hear(mail.Ended("1", Outcome.OK, b"made"))
+        here.hear(messages.Ended("1", Outcome.OK, b"made"))
         self.assertEqual(here.verdicts(*"12"), [SERVED, []])
-        here.hear(mail.Ended("2", Outcome.OK, b"its own"))
+        here.hear(messages.Ended("2", Outcome.OK, b"its own"))
         self.assertEqual([answer.body for answer in here.answers["2"]], [b"its own"])
 
     def test_a_run_refused_on_two_links_frees_its_core_and_not_its_key(self) -> None:
         """The first refusal is lost with its link, as what has no number is."""
         here = self.here
-        for event in (self.keyed("1"), self.keyed("2"), mail.Down(), mail.Synced(2, frozenset("1"))):
+        for event in (self.keyed("1"), self.keyed("2"), messages.Down(), messages.Synced(2, frozenset("1"))):
             here.hear(event)
         self.assertEqual(here.begun(), ["1", "1"])
-        here.hear(mail.Refused("1", mail.Begin))
+        here.hear(messages.Refused("1", messages.Begin))
         self.assertEqual((here.desk.slips, here.desk.yoke.on_core), ({}, 0))
         here.hear(self.keyed("3"))
         self.assertEqual(here.begun(), ["1", "1"])
@@ -147,7 +147,7 @@
         here.desk.keys.most_bytes = 8192
         for key in keys:
             here.hear(self.keyed(key, key=key))
-            here.hear(mail.Ended(key, Outcome.OK, bytes(4096)))
+            here.hear(messages.Ended(key, Outcome.OK, bytes(4096)))
         here.hear(*(self.keyed(f"again {key}", key=key) for key in keys))
         self.assertEqual(here.begun(), keys)
         self.assertEqual(here.verdicts(*(f"again {key}" for key in keys)), [FAILED, SERVED, SERVED])
@@ -158,7 +158,7 @@
 class Peers(unittest.IsolatedAsyncioTestCase):
     async def test_what_waits_for_a_full_mailbox_is_told_though_its_link_is_given_up(self) -> None:
         """A move to another address, or a write that fails, as the dispatcher is behind."""
-        inbox, events = anyio.create_memory_object_stream[mail.Event](1)
+        inbox, events = anyio.create_memory_object_stream[messages.Event](1)
         link = processor.Processor(Address("127.0.0.1", 1), NAMES, inbox)
         notice = b'{"event":"complete","cursor":%d,"handle":"1","fate":"OK","lasted":1,"arg":""}'
         with inbox, events, link.outbox, link.unsent:
@@ -172,7 +172,7 @@
 
     async def test_a_link_that_is_made_as_its_address_moves_is_given_up(self) -> None:
         old, new, connect = Processor(), Processor(), anyio.connect_tcp
-        inbox, events = anyio.create_memory_object_stream[mail.Event](9)
+        inbox, events = anyio.create_memory_object_stream[messages.Event](9)
         async with anyio.create_task_group() as tasks:
             for listener in (old, new):
                 await tasks.start(listener.run)
@@ -181,7 +181,7 @@
             async def moved_meanwhile(*where: Any) -> Any:
                 stream = await connect(*where)
                 if where[1] == old.port:
-                    link.tell(mail.Move(Address("127.0.0.1", new.port)))
+                    link.tell(messages.Move(Address("127.0.0.1", new.port)))
                 return stream
 
             with inbox, events, link.outbox, link.unsent:
@@ -198,13 +198,13 @@
         async with anyio.create_task_group() as tasks:
             for listener in (silent, last):
                 await tasks.start(listener.run)
-            client = roster.Roster(Address("127.0.0.1", silent.port), "n 3")
+            client = endpoint_registry.Roster(Address("127.0.0.1", silent.port), "n 3")
             with client.outbox, client.unsent:
                 tasks.start_soon(client.run)
                 await silent.until(lambda: silent.reports)
                 for port in (*range(1, 8), last.port):
-                    client.tell(mail.Move(Address("127.0.0.1", port)))
-                client.tell(mail.Report(False))
+                    client.tell(messages.Move(Address("127.0.0.1", port)))
+                client.tell(messages.Report(False))
                 await last.until(lambda: last.reports)
                 self.assertEqual(last.reports[0], ("/ns/hosts/n%203", "no"))
                 tasks.cancel_scope.cancel()
@@ -212,18 +212,18 @@
     async def test_no_call_goes_to_the_database_that_was_moved_away_from(self) -> None:
         """With the most connections busy at the old address; they end by themselves."""
         old, new = Database(None), Database()
-        inbox, events = anyio.create_memory_object_stream[mail.Event](9)
+        inbox, events = anyio.create_memory_object_stream[messages.Event](9)
         async with anyio.create_task_group() as tasks:
             for listener in (old, new):
                 await tasks.start(listener.run)
-            client = database.Database(Address("127.0.0.1", old.port), inbox)
-            with inbox, events, client.outbox, client.unsent, mock.patch.object(database, "MOST", 2):
+            client = dependency.Database(Address("127.0.0.1", old.port), inbox)
+            with inbox, events, client.outbox, client.unsent, mock.patch.object(dependency, "MOST", 2):
                 tasks.start_soon(client.run)
                 for id in "12":
-                    client.tell(mail.Call(id, time.time() + 30, b""))
+                    client.tell(messages.Call(id, time.time() + 30, b""))
                 await old.until(lambda: len(old.heard) == 2)
-                client.tell(mail.Move(Address("127.0.0.1", new.port)))
-                client.tell(mail.Call("3", time.time() + 30, b""))
+                client.tell(messages.Move(Address("127.0.0.1", new.port)))
+                client.tell(messages.Call("3", time.time() + 30, b""))
                 await new.until(lambda: new.heard)
                 self.assertEqual((await events.receive()).outcome, Outcome.OK)
                 tasks.cancel_scope.cancel()
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -23,11 +23,11 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from thymeyoke.ledger import export, statement, wire
-from thymeyoke.ledger.book import BadBook, Book
-from thymeyoke.ledger.entries import Amounts, Kind, Line, Periods, Recent, Use, sums
 from thymeyoke.ledger.export import At, Dial, Drop, Greet, Held, Mark, Pin, Send, Sender, judge
+from thymeyoke.ledger.export_store import Vault
 from thymeyoke.ledger.statement import Stream
-from thymeyoke.ledger.vault import Vault
+from thymeyoke.ledger.usage_entries import Amounts, Kind, Line, Periods, Recent, Use, sums
+from thymeyoke.ledger.usage_journal import BadBook, Book
 from thymeyoke.ledger.wire import Batch, Body, Hello, Refused, Taken, Welcome
 
 LENGTH = 10
--- a/tests/test_ledger_net.py
+++ b/tests/test_ledger_service.py
@@ -24,19 +24,19 @@
 from anyio.abc import SocketStream
 from click.testing import CliRunner
 
-from examples.standins import LOST, Processor, Router, StandIn
-from standins.fleet import Instance, free_port
-from standins.processes import Spent
-from tests.server import Place, place, steady, until
+from examples.fakes import LOST, Processor, Router, StandIn
+from fakes.fleet import Instance, free_port
+from fakes.processes import Spent
+from tests.app_server import Place, place, steady, until
 from tests.test_ledger import use
-from thymeyoke import orders
 from thymeyoke.__main__ import main
-from thymeyoke.ledger import export, keeper, statement, wire
-from thymeyoke.ledger.book import Book
-from thymeyoke.ledger.entries import Kind
+from thymeyoke.configuration import service_config
+from thymeyoke.ledger import export, statement, usage_recorder, wire
+from thymeyoke.ledger.export_store import Vault
 from thymeyoke.ledger.receiver import Receiver
-from thymeyoke.ledger.vault import Vault
-from thymeyoke.net import log
+from thymeyoke.ledger.usage_entries import Kind
+from thymeyoke.ledger.usage_journal import Book
+from thymeyoke.runtime import logs
 
 # An answer waits for half of this on the disk at the most: the verdict does not hang on the disk's speed.
 SLACK = 4_000_000
@@ -76,15 +76,15 @@
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.folder = Path(folder.name)
-        log.counts.clear()
+        logs.counts.clear()
 
-    def orders(self, port: int = 0, **options: Any) -> Callable[[], orders.Orders]:
+    def orders(self, port: int = 0, **options: Any) -> Callable[[], service_config.Orders]:
         lines = ["[ledger]", f"path = {self.folder / 'book'}", "period = 1"]
         lines += [f"{name} = {value}" for name, value in options.items()]
         lines += ["[ledger.export]", f"receiver = 127.0.0.1:{port}"] if port else []
         path = self.folder / "service.ini"
         path.write_text("\n".join(lines))
-        return lambda: orders.read(path)
+        return lambda: service_config.read(path)
 
     @asynccontextmanager
     async def far(self, *faults: str) -> AsyncIterator[Far]:
@@ -129,7 +129,7 @@
                         self.assertGreater(row["octets"], 0)
                 self.assertEqual(found, counted)
                 self.assertEqual(far.receiver.vault.verify(), [])
-                self.assertEqual(log.counts["ledger_told_unbacked"], 0)
+                self.assertEqual(logs.counts["ledger_told_unbacked"], 0)
 
         for answers in ("after", "before"):
             with self.subTest(answers=answers):
@@ -144,7 +144,7 @@
                 numbers = [await router.ask("buy", b"x", replay=mark) for _ in range(3)]
                 for number in numbers:
                     self.assertIsNone((await router.answer(number))[0])
-                await until(lambda: log.counts["ledger_entries"] == 3)
+                await until(lambda: logs.counts["ledger_entries"] == 3)
             book = Book(self.folder / "book", 1, begin=False)
             kinds = Counter(entry.line.kind for entry in book.entries())
             free = [entry.amounts for entry in book.entries() if entry.line.kind == Kind.REPEAT]
@@ -170,8 +170,8 @@
                         spent = Spent()
                         self.assertIsNone((await router.answer(await router.ask("look")))[0])
                         self.assertLess(spent.seconds(), 0.4)
-                    self.assertGreater(log.counts["ledger_told_unbacked"], 5)
-                await until(lambda: log.counts["ledger_entries"] == 10)
+                    self.assertGreater(logs.counts["ledger_told_unbacked"], 5)
+                await until(lambda: logs.counts["ledger_entries"] == 10)
 
         anyio.run(run)
 
@@ -180,7 +180,7 @@
             broken = mock.patch.object(
                 Book, "append", side_effect=sqlite3.OperationalError("database or disk is full")
             )
-            with mock.patch.object(keeper, "MOST", 20):
+            with mock.patch.object(usage_recorder, "MOST", 20):
                 async with place(Processor(0.002, calls=0), orders=self.orders(full=full)) as here:
                     router, errors = await here.router(), []
                     with broken:
@@ -188,18 +188,18 @@
                             spent = Spent()
                             errors.append((await router.answer(await router.ask("look")))[0])
                             self.assertLess(spent.seconds(), 0.4)
-                        self.assertGreater(log.counts["ledger_commit_failed"], 0)
+                        self.assertGreater(logs.counts["ledger_commit_failed"], 0)
                     refused = sum(error is not None for error in errors)
                     if full == "refuse":
                         self.assertEqual(
-                            (refused, log.counts["refused_by_ledger"]), (30 - (30 - refused), refused)
+                            (refused, logs.counts["refused_by_ledger"]), (30 - (30 - refused), refused)
                         )
                         self.assertTrue(15 <= refused <= 20, refused)
-                        self.assertEqual(log.counts["ledger_lost"], 0)
+                        self.assertEqual(logs.counts["ledger_lost"], 0)
                     else:
-                        self.assertEqual((refused, log.counts["ledger_lost"] > 0), (0, True))
-                    kept = 30 - refused - log.counts["ledger_lost"]
-                    await until(lambda: log.counts["ledger_entries"] == kept)
+                        self.assertEqual((refused, logs.counts["ledger_lost"] > 0), (0, True))
+                    kept = 30 - refused - logs.counts["ledger_lost"]
+                    await until(lambda: logs.counts["ledger_entries"] == kept)
                     self.assertIsNone((await router.answer(await router.ask("look")))[0])
 
         for full in ("refuse", "lose"):
@@ -210,15 +210,15 @@
     def test_no_answer_waits_for_a_book_that_is_not_open(self) -> None:
         async def run() -> None:
             asked = self.orders()
-            slow = mock.patch.object(keeper, "Book", side_effect=keeper.BadBook("no book"))
+            slow = mock.patch.object(usage_recorder, "Book", side_effect=usage_recorder.BadBook("no book"))
             slow.start()
             async with place(Processor(0.002, calls=0), orders=asked) as here:
                 router = await here.router()
                 for _ in range(5):
                     self.assertIsNone((await router.answer(await router.ask("look")))[0])
-                self.assertEqual(log.counts["ledger_told_unbacked"], 5)
+                self.assertEqual(logs.counts["ledger_told_unbacked"], 5)
                 slow.stop()
-                await until(lambda: log.counts["ledger_entries"] == 5)
+                await until(lambda: logs.counts["ledger_entries"] == 5)
 
         anyio.run(run)
 
@@ -258,7 +258,7 @@
                 await self.ops(here, 40, Counter())
                 await until(lambda: sum(map(rows_of(far), ("acked", "nacked"))) == 40)
                 self.assertGreaterEqual(far.connections, 5)
-                self.assertEqual(log.counts["ledger_export_halted"], 0)
+                self.assertEqual(logs.counts["ledger_export_halted"], 0)
 
         anyio.run(run)
 
--- a/tests/test_members.py
+++ b/tests/test_membership.py
@@ -25,22 +25,45 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from benchmarks.members import Simulated
+from benchmarks.membership import Simulated
+from tests.app_server import place
 from tests.conformance.tables import DASH, Row, played, rows
-from tests.server import place
-from thymeyoke import orders
-from thymeyoke.members import behind, bounds, decide, links, sketch, wire
-from thymeyoke.members.actor import Fleet, incarnation
-from thymeyoke.members.news import MESH_NEWS, NEWS, Fresh, Item, Kind, Message, Noted, Rumour, Send, Verdict
-from thymeyoke.members.section import Members
-from thymeyoke.members.server import Figures, serves
-from thymeyoke.members.trust import EPOCH, MOVES, Event, Layer, Said, Stand, Suspicion, classify, epoch, step
-from thymeyoke.members.view import LOADS_MOST, Load, Snapshot, State, Trust, View
-from thymeyoke.net import log, rpc
-from thymeyoke.net.clock import clock
-from thymeyoke.net.mail import Standing
-
-PAGE = "docs/members.md"
+from thymeyoke.configuration import service_config
+from thymeyoke.membership import controller, extension, limits, load_sketch, transport, wire
+from thymeyoke.membership.configuration import Members
+from thymeyoke.membership.failure_detector import (
+    EPOCH,
+    MOVES,
+    Event,
+    Layer,
+    Said,
+    Stand,
+    Suspicion,
+    classify,
+    epoch,
+    step,
+)
+from thymeyoke.membership.gossip import (
+    MESH_NEWS,
+    NEWS,
+    Fresh,
+    Item,
+    Kind,
+    Message,
+    Noted,
+    Rumour,
+    Send,
+    Verdict,
+)
+from thymeyoke.membership.load import Figures, serves
+from thymeyoke.membership.service import Fleet, incarnation
+from thymeyoke.membership.view import LOADS_MOST, Load, Snapshot, State, Trust, View
+from thymeyoke.runtime import logs
+from thymeyoke.runtime.clock import clock
+from thymeyoke.server import routers_wire
+from thymeyoke.server.messages import Standing
+
+PAGE = "docs/membership.md"
 QUIET = settings(derandomize=True, deadline=None)
 LIFE = 1_000_000
 X = Snapshot("x", False, LIFE, 100, State.SERVING, "10.0.0.1:1", connections=7, opened=2.0, room=3)
@@ -62,7 +85,7 @@
     def __init__(self, *known: str, still: bool = True, node: bool = False, at: tuple[str, ...] = ()) -> None:
         self.now = 1000.0
         own = Snapshot("me", node, LIFE, 0, State.SERVING, WHERE["me"])
-        self.it = decide.Membership(self.now, own, at, Random(1), 1.0)
+        self.it = controller.Membership(self.now, own, at, Random(1), 1.0)
         if still:
             self.it.beat_at = self.it.probe_at = self.it.pull_at = inf
         for name in known:
@@ -149,7 +172,7 @@
     Event.SUSPECTED: lambda one, _: one.rumour(Verdict.SUSPECTED, "z"),
     Event.FOUND_DEAD: lambda one, _: one.rumour(Verdict.DEAD, "z"),
     Event.ANOTHER_ADDRESS: lambda one, _: one.hear(of("x", address=ELSEWHERE)),
-    Event.UNANSWERED: lambda one, _: setattr(one.it, "probe", decide.Probe("x", 7, *[one.now] * 3)),
+    Event.UNANSWERED: lambda one, _: setattr(one.it, "probe", controller.Probe("x", 7, *[one.now] * 3)),
     Event.SUSPICION_OVER: lambda one, known: passed(one, known, doubted=100.0),
     Event.STAY_OVER: lambda one, known: passed(one, known, 601.0),
 }  # fmt: skip
@@ -331,7 +354,7 @@
         self.assertEqual(one.it.stood(one.now), (one.now, late + 1.0))  # asked before anything else is done
         self.assertTrue(noted(one.it.settle(one.now), "stood_still"))
         self.assertEqual(one.it.stood(one.now + 0.5)[0], one.now)
-        self.assertEqual((one.it.health, one.it.probe), (decide.SHAKEN, None))
+        self.assertEqual((one.it.health, one.it.probe), (controller.SHAKEN, None))
         self.assertEqual([one.stand(name) for name in "xz"], [Stand.SURE, Stand.UNSURE])
         self.assertAlmostEqual(before.over_at, over + late + 1.0)
         one.hear(of("x", sequence=105))  # read just now, said at any time since
@@ -371,8 +394,8 @@
 
     def me_16(self) -> None:
         one = One("x", "y", "z")
-        one.knows(*(Said(of(f"m{at}")) for at in range(decide.MOST - 3)))
-        self.assertEqual((len(one.it.known), noted(one.hear(of("late")), "full")), (decide.MOST, 1))
+        one.knows(*(Said(of(f"m{at}")) for at in range(controller.MOST - 3)))
+        self.assertEqual((len(one.it.known), noted(one.hear(of("late")), "full")), (controller.MOST, 1))
         self.assertEqual(one.stand("late"), Stand.UNKNOWN)
         one.hear(of("x", sequence=200, state=State.GONE))
         one.hear(of("late"))
@@ -390,7 +413,9 @@
             pushes = [send for send in sends(one.settle(1.0)) if send.message.kind == Kind.PUSH]
             self.assertEqual([push.message.me.snapshot.parts["moves"] for push in pushes], [b"vote"] * 8)
             in_full = [push for push in pushes if push.message.me.layers & Layer.DETAIL]
-            self.assertLessEqual(sum(len(wire.encode(push.message)) for push in in_full), 1.2 * decide.DETAIL)
+            self.assertLessEqual(
+                sum(len(wire.encode(push.message)) for push in in_full), 1.2 * controller.DETAIL
+            )
             full += [push.to for push in in_full]
         self.assertEqual(len(set(full)), 8)
 
@@ -496,14 +521,14 @@
             one.hear(said.snapshot, layers=said.layers)
             self.assertEqual(one.it.known["x"].shown, said.snapshot)
         self.assertIsNone(read(old | {"k": 99}))
-        self.assertEqual(bounds.fault(read(old | {"m": me | {"t": 17}}).me.snapshot, LIFE), "no such state")
+        self.assertEqual(limits.fault(read(old | {"m": me | {"t": 17}}).me.snapshot, LIFE), "no such state")
 
     def reads(
         self, data: bytes, why: str = "", badge: wire.Badge = BADGE, left: int = wire.POOL, each: int = 4096
     ) -> list[wire.Whole]:
         """What a link says, so many octets each time; `why` it is closed."""
         reader, got = wire.Reader(badge, wire.Pool(left)), []
-        with self.assertRaisesRegex(rpc.BadFrame, why) if why else nullcontext():
+        with self.assertRaisesRegex(routers_wire.BadFrame, why) if why else nullcontext():
             for at in range(0, len(data), each):
                 got += reader.feed(data[at : at + each])
         reader.close()
@@ -550,7 +575,7 @@
         self.assertEqual((told(one.settle(0.25)), one.it.relays), ([(Kind.NACK, 6, "x")], {}))
         (ping,) = to(one.hear(Y, Kind.ASK, number=8, about="x"), WHERE["x"])
         self.assertEqual(told(one.hear(X, Kind.ACK, number=ping.number, about="x")), [(Kind.ACK, 8, "x")])
-        one.it.relays = {at: decide.Relay(ELSEWHERE, at, "x", inf) for at in range(decide.RELAYS)}
+        one.it.relays = {at: controller.Relay(ELSEWHERE, at, "x", inf) for at in range(controller.RELAYS)}
         self.assertEqual(told(one.hear(Y, Kind.ASK, number=9, about="x")), [(Kind.NACK, 9, "x")])
         self.me_3(*((by, Kind.NACK, 0, "x", True, Stand.UNSURE, 5 - len(by)) for by in ("", "y", "yz")))
 
@@ -607,7 +632,7 @@
         one.it.beat_at = one.now
         one.settle()
         self.assertEqual(tables(Y), (1, 99))
-        one.it.pulled = {str(at) for at in range(decide.TABLES // 2)}  # of two members each
+        one.it.pulled = {str(at) for at in range(controller.TABLES // 2)}  # of two members each
         self.assertEqual(tables(X), (0, 100))
         one.it.pulled.remove("0")
         self.assertEqual(tables(X), (1, 99))
@@ -669,7 +694,7 @@
            st.integers(0, 40))  # fmt: skip
     def test_sketch(self, stream: list[tuple[str, int]], cut: int) -> None:
         true = dict.fromkeys("abcdefgh", 0)
-        one, other, whole = (sketch.Sketch(4) for _ in range(3))
+        one, other, whole = (load_sketch.Sketch(4) for _ in range(3))
         for at, (name, many) in enumerate(stream):
             true[name] += many
             for each in (whole, other if at >= cut else one):
@@ -689,10 +714,10 @@
 
     def test_largest(self) -> None:
         held = [(f"t{at}", at, at / 10) for at in range(10)]
-        loads, rest = sketch.largest(held, 3)
+        loads, rest = load_sketch.largest(held, 3)
         self.assertEqual([load.tenant for load in loads], ["t9", "t8", "t7"])
         self.assertEqual((rest.connections, round(rest.opened, 6), rest.over), (21, 2.1, 0))
-        self.assertEqual(sketch.largest(held)[1], Load("", 0, 0))
+        self.assertEqual(load_sketch.largest(held)[1], Load("", 0, 0))
 
 
 ANYONE, LIVES = st.sampled_from(["me", "x", "y", "z", "w"]), st.integers(LIFE - 1, LIFE + 2)
@@ -761,8 +786,8 @@
             assert (known.figures.state == State.GONE) == (known.stand == Stand.GONE)
             assert 0.0 <= view.members[name].weight <= 1.0 and view.members[name].age >= 0.0
         assert it.doubted <= it.known.keys() and it.fresh.told.keys() <= it.known.keys()
-        assert len(it.relays) <= decide.RELAYS and len(it.told) <= decide.TELLINGS
-        assert 0 <= it.health <= decide.HEALTH_TOP and "me" not in it.known
+        assert len(it.relays) <= controller.RELAYS and len(it.told) <= controller.TELLINGS
+        assert 0 <= it.health <= controller.HEALTH_TOP and "me" not in it.known
 
 
 PlayTest = Play.TestCase
@@ -913,11 +938,11 @@
 
 class BadInput(unittest.TestCase):
     def test_snapshots(self) -> None:
-        self.assertEqual(bounds.fault(X, LIFE), "")
+        self.assertEqual(limits.fault(X, LIFE), "")
         for name, values in FAULTS.items():
             for value in values:
                 with self.subTest(name, value=str(value)[:60]):
-                    self.assertNotEqual(bounds.fault(of("x", **{name: value}), LIFE), "")
+                    self.assertNotEqual(limits.fault(of("x", **{name: value}), LIFE), "")
         for age in (-1.0, nan, inf):
             one = One("y")
             one.hear(X, age=age)
@@ -927,22 +952,24 @@
         for text in ("10.0.0.1:80", "[::1]:7", "[fe80::1]:80", "[fe80::1%eth0]:80", "[fe80::1%br-0.7_a]:80",
                      "[fe80::1%" + "e" * 15 + "]:80"):  # fmt: skip
             with self.subTest(text):
-                self.assertTrue(bounds.place(text))
-                self.assertEqual(str(orders.HostPort.parse(text)), text)  # as those read it who connect to it
+                self.assertTrue(limits.place(text))
+                self.assertEqual(
+                    str(service_config.HostPort.parse(text)), text
+                )  # as those read it who connect to it
 
     def test_noise(self) -> None:
         for noise in NOISE:
-            with self.subTest(noise[:40]), self.assertRaises(rpc.BadFrame):
+            with self.subTest(noise[:40]), self.assertRaises(routers_wire.BadFrame):
                 wire.Reader(BADGE, wire.Pool()).feed(noise)
         for body in BODIES:
-            with self.subTest(body[:40]), self.assertRaises(rpc.BadFrame):
+            with self.subTest(body[:40]), self.assertRaises(routers_wire.BadFrame):
                 wire.decode(body)
 
     @QUIET
     @given(st.binary(max_size=200))
     def test_any_octets(self, data: bytes) -> None:
         reader = wire.Reader(BADGE, wire.Pool())
-        with suppress(rpc.BadFrame):
+        with suppress(routers_wire.BadFrame):
             reader.feed(data)
             self.assertTrue(reader.half() or not data)
 
@@ -968,7 +995,7 @@
             with NamedTemporaryFile("w", suffix=".ini") as file:
                 file.write("\n".join(("[members]", *lines)))
                 file.flush()
-                return orders.read(Path(file.name))["members"]
+                return service_config.read(Path(file.name))["members"]
 
         one = read("address = 127.0.0.1:6001", "others = 127.0.0.1:6002, [::1]:6003", "key = secret")
         self.assertEqual((list(map(str, one.others)), one.period), (["127.0.0.1:6002", "[::1]:6003"], 1.0))
@@ -982,7 +1009,7 @@
             ((here, "key = " + "k" * 65), "what is given can't be used"),
             ((here, "[members.more]"), "no such section"),
         ):  # fmt: skip
-            with self.subTest(why), self.assertRaisesRegex(orders.BadOrders, why):
+            with self.subTest(why), self.assertRaisesRegex(service_config.BadOrders, why):
                 read(*lines)
 
     def test_figures(self) -> None:
@@ -1011,13 +1038,13 @@
 PERIOD = 0.2
 
 
-def free() -> orders.HostPort:
+def free() -> service_config.HostPort:
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
-        return orders.HostPort.parse(f"127.0.0.1:{sock.getsockname()[1]}")
+        return service_config.HostPort.parse(f"127.0.0.1:{sock.getsockname()[1]}")
 
 
-def told(*others: orders.HostPort, **more: Any) -> Members:
+def told(*others: service_config.HostPort, **more: Any) -> Members:
     return Members(address=free(), others=others, period=PERIOD, **more)
 
 
@@ -1047,10 +1074,10 @@
 
 @asynccontextmanager
 async def linked(
-    most: links.Bounds, refused: Callable[[str], None] = lambda _: None
-) -> AsyncIterator[tuple[links.Links, orders.HostPort, list[Any]]]:
+    most: transport.Bounds, refused: Callable[[str], None] = lambda _: None
+) -> AsyncIterator[tuple[transport.Links, service_config.HostPort, list[Any]]]:
     where, heard = free(), list[Any]()
-    one = links.Links(most, PERIOD, BADGE, heard.append, refused)
+    one = transport.Links(most, PERIOD, BADGE, heard.append, refused)
     assert not one.tell(str(where), b"")
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(one.run, str(where.ip), where.port)
@@ -1059,7 +1086,7 @@
         tasks.cancel_scope.cancel()
 
 
-async def dialled(where: orders.HostPort, data: bytes = b"") -> anyio.abc.SocketStream:
+async def dialled(where: service_config.HostPort, data: bytes = b"") -> anyio.abc.SocketStream:
     stream = await anyio.connect_tcp(str(where.ip), where.port)
     with suppress(anyio.BrokenResourceError):
         await stream.send(data)
@@ -1080,12 +1107,12 @@
 
 
 def counted(what: str) -> int:
-    return log.counts["members_" + what]
+    return logs.counts["members_" + what]
 
 
 class Sockets(unittest.IsolatedAsyncioTestCase):
     def setUp(self) -> None:
-        log.counts.clear()
+        logs.counts.clear()
 
     async def test_three(self) -> None:
         a = fleet("a", key="secret")
@@ -1172,28 +1199,34 @@
             await until(lambda: shown(watch, name).state == State.GONE)
 
     async def test_probe(self) -> None:
-        behind.probe(told())
-        with self.assertRaises(behind.Refused):
-            behind.probe(Members(address=orders.HostPort.parse("192.0.2.77:6001")))
+        extension.probe(told())
+        with self.assertRaises(extension.Refused):
+            extension.probe(Members(address=service_config.HostPort.parse("192.0.2.77:6001")))
 
     async def test_bounds_of_links(self) -> None:
-        self.assertEqual((links.SERVER.out + links.SERVER.into, links.NODE.into >= 1024), (48, True))
-        flood = links.Flood(100.0, 8.0)
-        for now, many, taken in ((0.0, links.FLOOD, True), (0.0, 1, False), (4.0, links.FLOOD // 4, True)):
+        self.assertEqual(
+            (transport.SERVER.out + transport.SERVER.into, transport.NODE.into >= 1024), (48, True)
+        )
+        flood = transport.Flood(100.0, 8.0)
+        for now, many, taken in (
+            (0.0, transport.FLOOD, True),
+            (0.0, 1, False),
+            (4.0, transport.FLOOD // 4, True),
+        ):
             self.assertEqual(flood.take(100.0 + now, many), taken)
-        link = links.Link("127.0.0.1:1", 1.0)  # nobody writes its letters
-        took = [link.tell(b"letter") for _ in range(links.MAILBOX + 1)]
-        self.assertEqual((took, link.scope.cancel_called), ([True] * links.MAILBOX + [False], True))
+        link = transport.Link("127.0.0.1:1", 1.0)  # nobody writes its letters
+        took = [link.tell(b"letter") for _ in range(transport.MAILBOX + 1)]
+        self.assertEqual((took, link.scope.cancel_called), ([True] * transport.MAILBOX + [False], True))
         self.assertEqual(counted("outbox_full"), 1)
         link.outbox.close()
         link.unsent.close()
         hello, news = (wire.notifications("w", body, BADGE) for body in (b"hello", b"news"))
-        async with linked(links.Bounds(1, 2)) as (one, where, heard):
+        async with linked(transport.Bounds(1, 2)) as (one, where, heard):
             other = str(free())
             self.assertTrue(one.tell(other, b"lost"))  # nobody is there
             await until(lambda: not one.out)
             self.assertFalse(one.tell(other, b"too soon"))
-            await anyio.sleep(links.AGAIN * PERIOD)
+            await anyio.sleep(transport.AGAIN * PERIOD)
             self.assertTrue(one.tell(other, b"lost"))
             self.assertTrue(one.tell(str(where), hello))  # takes its place
             self.assertEqual(list(one.out), [str(where)])
@@ -1218,7 +1251,7 @@
                 one.setblocking(False)
                 one.connect_ex(silent.getsockname())
             late, gone = "{}:{}".format(*silent.getsockname()), str(free())
-            async with linked(links.Bounds(4, 4), refused.append) as (one, _, _):
+            async with linked(transport.Bounds(4, 4), refused.append) as (one, _, _):
                 for address in (late, gone):
                     self.assertTrue(one.tell(address, b"lost"))
                 await until(lambda: not one.out)
@@ -1241,7 +1274,7 @@
             await until(lambda: counted("accept_failed") > before)
 
         loop.sock_accept = sock_accept  # type: ignore[method-assign]
-        async with linked(links.Bounds(1, 4)) as (one, where, heard):
+        async with linked(transport.Bounds(1, 4)) as (one, where, heard):
             streams = [await dialled(where, hello)]
             await until(lambda: len(heard) == 1)
             for out_of in (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM):
--- a/tests/test_moves.py
+++ b/tests/test_migration.py
@@ -1,4 +1,5 @@
-"""Moves: every row of docs/moves.md, the laws of plans, and every order of a small model on the real code."""
+"""Moves: every row of docs/migration.md, the laws of plans, and every order of a small model on the real
+code."""
 
 from __future__ import annotations
 
@@ -19,14 +20,14 @@
 from msgspec import structs
 
 from tests.conformance.tables import DASH, Row, played, rows
-from thymeyoke import orders
-from thymeyoke.members.view import Load, Member, Snapshot, State, Trust, View
-from thymeyoke.moves import consent, decide, loads, plan, shown, wire
-from thymeyoke.moves.decide import Event, Full, Less, Level, Mover, Withdrawn
-from thymeyoke.moves.loads import Terms
-from thymeyoke.moves.plan import Allowed
-
-PAGE = "docs/moves.md"
+from thymeyoke.configuration import service_config
+from thymeyoke.membership.view import Load, Member, Snapshot, State, Trust, View
+from thymeyoke.migration import controller, load_ranges, planner, presentation, quorum, wire
+from thymeyoke.migration.controller import Event, Full, Less, Level, Mover, Withdrawn
+from thymeyoke.migration.load_ranges import Terms
+from thymeyoke.migration.planner import Allowed
+
+PAGE = "docs/migration.md"
 TERMS = Terms(act="move", uneven=1.25, at_once=1, an_hour=12, rest=300.0, settle=60.0)
 START = 10_000.0  # long after all were born: everyone votes
 FLEET = {"a": {"t1": 300, "t2": 400, "t3": 500}, "b": {"u1": 300, "u2": 300}, "c": {"v1": 300}}
@@ -60,11 +61,11 @@
     return Allowed({one.name: every for one in seen.nodes()})
 
 
-def planned(seen: View, terms: Terms = TERMS) -> plan.Plan:
-    return plan.plan(loads.read(seen, terms), allowed(seen), terms)
+def planned(seen: View, terms: Terms = TERMS) -> planner.Plan:
+    return planner.plan(load_ranges.read(seen, terms), allowed(seen), terms)
 
 
-def names(made: plan.Plan) -> list[tuple[str, str, str]]:
+def names(made: planner.Plan) -> list[tuple[str, str, str]]:
     return [(step.tenant, step.source, step.target) for step in made.steps]
 
 
@@ -85,7 +86,7 @@
         self.dead: set[str] = set()
         self.cut: set[tuple[str, str]] = set()  # (who hears, of whom)
         self.other: dict[str, dict[str, Any]] = {name: {} for name in tenants}
-        self.out: list[tuple[str, decide.Action]] = []
+        self.out: list[tuple[str, controller.Action]] = []
         self.begun: list[tuple[Any, ...]] = []  # when, tenant, source, target
 
     def made(self, name: str, now: float) -> Mover:
@@ -117,7 +118,7 @@
         self.versions[name] = (version + (facts != before), facts)
         return View(self.versions[name][0], self.now, name, found)
 
-    def settle(self, name: str) -> list[decide.Action]:
+    def settle(self, name: str) -> list[controller.Action]:
         mover = self.movers[name]
         mover.saw(self.now, self.view(name))
         before = {id(one) for one in self.live(name)}
@@ -157,8 +158,8 @@
             self.round(step)
         raise AssertionError(f"not within 600 s: {[one.shown(self.now) for one in self.movers.values()]}")
 
-    def live(self, name: str) -> list[decide.Record]:
-        under_way = (decide.State.BEGUN, decide.State.SETTLING)
+    def live(self, name: str) -> list[controller.Record]:
+        under_way = (controller.State.BEGUN, controller.State.SETTLING)
         return [one for one in self.movers[name]._live() if one.state in under_way]
 
     def find(self, who: str, of: str, trust: Trust = D) -> None:
@@ -224,7 +225,7 @@
 }
 
 
-def asked(sim: Sim, step: float = 1.0) -> tuple[Sim, decide.Record]:
+def asked(sim: Sim, step: float = 1.0) -> tuple[Sim, controller.Record]:
     """Everything is as if a has just asked, and nobody has heard of it."""
     sim.until(lambda: sim.movers["a"]._live(), step)
     (record,) = sim.movers["a"]._live()
@@ -237,7 +238,7 @@
 WAYS["kept"] = f"{WAYS['settling']}, empty, wait 0"
 
 
-def at(state: str) -> tuple[Sim, decide.Record]:
+def at(state: str) -> tuple[Sim, controller.Record]:
     """A fleet where a's move of t2 to c is in a state, and nobody knows more than that needs."""
     sim, record = asked(Sim())
     sim.play(WAYS[state])
@@ -259,7 +260,7 @@
                 now = [LEVELS[sim.level(name, tenant)] for name in sim.movers]
                 now = [one if want != "?" else "?" for one, want in zip(now, levels, strict=True)]
                 case.assertEqual("".join(now), levels, (text, step))
-            case [word] if word in list(decide.State):
+            case [word] if word in list(controller.State):
                 case.assertEqual(record.state, word, (text, record.why))
             case [name, "full", seconds]:
                 for _ in range(int(seconds)):
@@ -294,7 +295,9 @@
     Event.SETTLED: lambda sim, _: sim.do("empty"),
     Event.GONE: lambda sim, _: sim.trust["a"].update(c=D),
     Event.NO_ROOM: lambda sim, _: of_c(sim, room=0),
-    Event.LATE: lambda sim, state: sim.late(120.0 if state in ("settling", *decide.OVER) else 31.0, state),
+    Event.LATE: lambda sim, state: sim.late(
+        120.0 if state in ("settling", *controller.OVER) else 31.0, state
+    ),
     Event.UNWANTED: lambda sim, _: (sim.connections["a"].update(t1=0, t3=0), sim.late(5.0)),
     Event.OFF: lambda sim, _: sim.off(),
     Event.LIFE: lambda sim, _: sim.lives.update(a=2),
@@ -310,12 +313,12 @@
     case.assertEqual(record.state, expected, record.why)
     out = re.findall(r"`(Full|Less|Withdrawn)`", row["what goes out"])
     case.assertEqual([(type(one).__name__, one.tenant) for one in done], [(name, "t2") for name in out])
-    case.assertEqual(bool(sim.movers["a"]._live()), expected not in decide.OVER)
+    case.assertEqual(bool(sim.movers["a"]._live()), expected not in controller.OVER)
 
 
 class States(unittest.TestCase):
     def test_the_page(self) -> None:
-        cases = {(str(state), str(event)): play_state for state in decide.State for event in Event}
+        cases = {(str(state), str(event)): play_state for state in controller.State for event in Event}
         played(self, rows(PAGE, "States"), ("state", "event"), cases)
 
 
@@ -323,17 +326,17 @@
     return wire.Ask(slot, number, tenant, target, "a", 1, **other)
 
 
-Saying = dict[str, consent.Said]
+Saying = dict[str, quorum.Said]
 
 
-def give(made: consent.Voter, said: Saying, at_once: int = 2) -> dict[tuple[str, int], str]:
+def give(made: quorum.Voter, said: Saying, at_once: int = 2) -> dict[tuple[str, int], str]:
     return made.give(START, TERMS._replace(at_once=at_once), said, lambda *_: None, lambda _: True)
 
 
-def voter(*asks: tuple[str, wire.Ask]) -> tuple[consent.Voter, Saying]:
+def voter(*asks: tuple[str, wire.Ask]) -> tuple[quorum.Voter, Saying]:
     """b's votes, after the asks of others."""
-    made = consent.Voter(0.0)
-    said = {name: consent.Said(fleet().members[name], wire.Part(at_once=2)) for name in FLEET}
+    made = quorum.Voter(0.0)
+    said = {name: quorum.Said(fleet().members[name], wire.Part(at_once=2)) for name in FLEET}
     for name, one in asks:
         says(said, name, at_once=2, asks=(*said[name].part.asks, one))
         give(made, said)
@@ -372,7 +375,7 @@
                 ({"snapshot": member.snapshot._replace(state=State.LEAVING)}, "leaving"),
             ):  # fmt: skip
                 seen = plain._replace(members=plain.members | {name: member._replace(**changed)})
-                read = loads.read(seen, TERMS)
+                read = load_ranges.read(seen, TERMS)
                 self.assertIn(why, read.unknown[name])
                 self.assertNotIn(name, [one.name for one in read.nodes])
                 self.assertEqual(read.mean.mid, (2100 - sum(FLEET[name].values())) / 2)
@@ -382,7 +385,7 @@
         one = snapshot("a", {"t1": 100}, opened=2.0, loads=(Load("t1", 100, 2.0, 10),))
         found = []
         for age, weight in ((0.0, 1.0), (2.0, 1.0), (4.0, 0.8), (20.0, 0.5)):
-            (node,) = loads.read(view(one, age=age, weight=weight), TERMS).nodes
+            (node,) = load_ranges.read(view(one, age=age, weight=weight), TERMS).nodes
             for load in (node.load, node.tenants[0].load):
                 self.assertTrue(load.low <= load.mid <= load.high and load.mid > 0)
             found.append(node.load)
@@ -397,7 +400,7 @@
             {"loads": (Load("t1", 5, float("-inf")),)},
         ):  # fmt: skip
             seen = fleet(own={"a": bad})
-            self.assertIn("tells", loads.read(seen, TERMS).unknown.get("a", ""), bad)
+            self.assertIn("tells", load_ranges.read(seen, TERMS).unknown.get("a", ""), bad)
             self.assertEqual(planned(seen).steps, ())
 
     def mo_4(self) -> None:
@@ -416,17 +419,17 @@
         self.assertEqual(names(made), [MOVE])
         self.assertTrue(made.proved and made.before > 1.7 and made.after <= 1.25)
         # The largest first takes three; two of middle size suffice, and the search finds them.
-        target = plan.Target(loads.Node("b", loads.NOTHING, 999, (), frozenset()), 100.0)
-        every = [loads.Tenant(f"t{at}", loads.Range(many, many, many), many, 0.0)
+        target = planner.Target(load_ranges.Node("b", load_ranges.NOTHING, 999, (), frozenset()), 100.0)
+        every = [load_ranges.Tenant(f"t{at}", load_ranges.Range(many, many, many), many, 0.0)
                  for at, many in enumerate((60, 50, 50, 30, 10))]  # fmt: skip
-        sources = (plan.Source("a", 100.0, tuple((one, (target,)) for one in every)),)
-        given = plan.Problem(sources, (target,), 100.0)
-        self.assertEqual([one[1].connections for one in plan.greedy(given)[0]], [60, 30, 10])
-        (chosen, left), proved = plan.fewest(given)
+        sources = (planner.Source("a", 100.0, tuple((one, (target,)) for one in every)),)
+        given = planner.Problem(sources, (target,), 100.0)
+        self.assertEqual([one[1].connections for one in planner.greedy(given)[0]], [60, 30, 10])
+        (chosen, left), proved = planner.fewest(given)
         self.assertEqual(([one[1].connections for one in chosen], left, proved), ([50, 50], 0, True))
-        like = plan.Source("a", 1.0, ((every[1], (target,)),) * 3)
+        like = planner.Source("a", 1.0, ((every[1], (target,)),) * 3)
         for large, kept in (True, [2, 1]), (False, [1, 2]):  # no tenant twice; one given up may come again
-            self.assertEqual(plan._chosen(like, 2, large), kept)
+            self.assertEqual(planner._chosen(like, 2, large), kept)
         self.assertNotIn(MOVE, names(planned(fleet(room=399))))
 
     def mo_6(self) -> None:
@@ -513,7 +516,7 @@
 
     def mo_14(self) -> None:
         for after, given_ in ((449.0, 0), (451.0, 1)):
-            made = consent.Voter(START - after)
+            made = quorum.Voter(START - after)
             give(made, voter(("a", ask()))[1], 1)
             self.assertEqual(len(made.given), given_)
         sim = Sim()
@@ -538,22 +541,22 @@
         for at_once, an_hour, rest, span in ((1, 12, 300, 300), (1, 12, 600, 600), (4, 12, 300, 1200),
                                              (5, 12, 1, 1800), (8, 2, 1, 3600)):  # fmt: skip
             terms = TERMS._replace(at_once=at_once, an_hour=an_hour, rest=rest)
-            self.assertEqual(consent.spacing(terms), span)
-            self.assertLessEqual(min(at_once, an_hour) * (consent.HOUR // span), an_hour)
+            self.assertEqual(quorum.spacing(terms), span)
+            self.assertLessEqual(min(at_once, an_hour) * (quorum.HOUR // span), an_hour)
 
     def mo_16(self) -> None:
         said = voter()[1]
         for told, many in ((3, 3), (2, 2), (1, 1), (9, 4)):
             for name, at_once in (("a", 9), ("b", 9), ("c", told)):
                 says(said, name, at_once=at_once)
-            self.assertEqual(consent.slots(TERMS._replace(at_once=4), said), many)
+            self.assertEqual(quorum.slots(TERMS._replace(at_once=4), said), many)
         made, said = voter(("a", ask(1)))
         self.assertIn(1, made.given)
         says(said, "c", at_once=1)
-        self.assertIn("1 at once", give(consent.Voter(0.0), said, 4)["a", 1])
+        self.assertIn("1 at once", give(quorum.Voter(0.0), said, 4)["a", 1])
 
     def mo_17(self) -> None:
-        vote, own = wire.Vote(0, "a", 1, 1), [consent.Given(ask(), "a", 1, START + 9)]
+        vote, own = wire.Vote(0, "a", 1, 1), [quorum.Given(ask(), "a", 1, START + 9)]
         none = ", none of the target's"
         for known, target, text, is_given in (
             (3, "c", "2 of 2 votes", True), (5, "c", "2 of 3 votes", False),
@@ -561,11 +564,11 @@
         ):  # fmt: skip
             said = voter()[1]
             says(said, "c", votes=(vote,), known=known)
-            found = consent.count(vote, target, "a", own, 3, said)
+            found = quorum.count(vote, target, "a", own, 3, said)
             self.assertEqual((found.text, found.given), (text, is_given))
 
     def mo_18(self) -> None:
-        seen, known = fleet(), consent.Known()
+        seen, known = fleet(), quorum.Known()
         b = seen.members["b"]
         farewell = b._replace(snapshot=b.snapshot._replace(state=State.GONE))
         gone = seen._replace(members=seen.members | {"b": farewell})
@@ -702,7 +705,7 @@
             (fleet(own={"a": a}), (1200, 600, 300)),  # nobody holds t2
             (fleet(own={"a": a, "b": b, "c": c}), (800, 800, 500)),  # both
         ):  # fmt: skip
-            read = loads.read(seen, TERMS)
+            read = load_ranges.read(seen, TERMS)
             self.assertEqual(tuple(one.load.mid for one in read.nodes), expected)
             self.assertEqual([one.room for one in read.nodes], [5000] * 3)  # of what is there now
             self.assertEqual(read.mean.mid, sum(expected) / 3)
@@ -710,7 +713,7 @@
                 self.assertLessEqual(sum(one.load.mid for one in node.tenants), node.load.mid)
                 self.assertTrue(0 <= node.load.low <= node.load.mid <= node.load.high)
         self.assertEqual(names(planned(moved)), [])  # once is enough
-        (tenant,) = [one for one in loads.read(moved, TERMS).nodes[2].tenants if one.name == "t2"]
+        (tenant,) = [one for one in load_ranges.read(moved, TERMS).nodes[2].tenants if one.name == "t2"]
         self.assertEqual((tenant.load.mid, tenant.connections), (400, 400))
         twelve = {f"t{at_}": 100 for at_ in range(12)}
         sim = Sim({"a": twelve, "b": {"u": 100}, "c": {"v": 100}, "d": {"w": 100}})
@@ -882,7 +885,7 @@
                 weight=draw(st.sampled_from((1.0, 0.9))))  # fmt: skip
 
 
-def suffices(given: plan.Problem, chosen: Iterable[plan.Choice]) -> bool:
+def suffices(given: planner.Problem, chosen: Iterable[planner.Choice]) -> bool:
     needs = [one.need for one in given.sources]
     gaps, room = {one.name: one.gap for one in given.targets}, {one.name: one.room for one in given.targets}
     gone = [tenant.name for _, tenant, _ in chosen]
@@ -899,8 +902,8 @@
     @given(fleets(), st.sampled_from((0, 500)), st.sampled_from((1.1, 1.25, 2.0)))
     def test_plans(self, seen: View, steps: int, uneven: float) -> None:
         terms = TERMS._replace(uneven=uneven)
-        read = loads.read(seen, terms)
-        made = plan.plan(read, allowed(seen), terms, steps)
+        read = load_ranges.read(seen, terms)
+        made = planner.plan(read, allowed(seen), terms, steps)
         after = {one.name: one.load.high for one in read.nodes}
         room = {one.name: one.room for one in read.nodes}
         sources, targets = {one.source for one in made.steps}, {one.target for one in made.steps}
@@ -915,15 +918,15 @@
         self.assertEqual(len({step.tenant for step in made.steps}), len(made.steps))
         self.assertLessEqual(made.after, made.before + 1e-9)
         mixed = seen._replace(members=dict(reversed(seen.members.items())))
-        self.assertEqual(plan.plan(loads.read(mixed, terms), allowed(mixed), terms, steps), made)
+        self.assertEqual(planner.plan(load_ranges.read(mixed, terms), allowed(mixed), terms, steps), made)
 
     @settings(derandomize=True, deadline=None, max_examples=100)
     @given(fleets())
     def test_the_search_is_never_worse(self, seen: View) -> None:
-        given = plan.problem(loads.read(seen, TERMS), allowed(seen), TERMS)
+        given = planner.problem(load_ranges.read(seen, TERMS), allowed(seen), TERMS)
         before = [(one.name, one.gap, one.room) for one in given.targets]
-        chosen, left = plan.greedy(given)
-        (found, over), proved = plan.fewest(given, 2000)
+        chosen, left = planner.greedy(given)
+        (found, over), proved = planner.fewest(given, 2000)
         self.assertTrue(over < left or (over == left and len(found) <= len(chosen)))
         ways = [(at_, tenant, target) for at_, source in enumerate(given.sources)
                 for tenant, where in source.tenants for target in where]  # fmt: skip
@@ -974,11 +977,11 @@
             with self.subTest(moves=moves, period=period), NamedTemporaryFile("w", suffix=".ini") as file:
                 file.write(text)
                 file.flush()
-                terms = orders.read(Path(file.name))["moves"].terms
+                terms = service_config.read(Path(file.name))["moves"].terms
                 self.assertEqual(terms.settle, moves)
-                self.assertAlmostEqual(consent.asking(terms), asking)
-                self.assertAlmostEqual(consent.beginning(terms), beginning)
-                self.assertAlmostEqual(consent.longest(terms), asking + beginning + moves)
+                self.assertAlmostEqual(quorum.asking(terms), asking)
+                self.assertAlmostEqual(quorum.beginning(terms), beginning)
+                self.assertAlmostEqual(quorum.longest(terms), asking + beginning + moves)
 
 
 class Bars(unittest.TestCase):
@@ -1006,18 +1009,18 @@
     def test_status_and_tables(self) -> None:
         for state in ("proposed", "begun", "kept", "settling"):
             sim, _ = at(state)
-            told = shown.status(sim.movers["a"], sim.now)
+            told = presentation.status(sim.movers["a"], sim.now)
             one = next(one for one in told["recommendations"] if one["tenant"] == "t2")
             self.assertEqual((one["from"], one["to"], one["state"]), ("a", "c", state))
-            tables = shown.tables(told)
+            tables = presentation.tables(told)
             self.assertTrue(all(len(line) == len(table[0]) for table in tables for line in table))
-            self.assertIn("2 of 3 nodes must agree", " ".join(shown.lines(told)))
+            self.assertIn("2 of 3 nodes must agree", " ".join(presentation.lines(told)))
         sim.do("b hears a")
-        told = shown.status(sim.movers["b"], sim.now)
+        told = presentation.status(sim.movers["b"], sim.now)
         self.assertIn("settling", [one["state"] for one in told["recommendations"]])
         sim = Sim({"a": {"big": 1800}, "b": {"u1": 100}, "c": {"v1": 100}})
         sim.round()
-        tables = shown.tables(shown.status(sim.movers["a"], sim.now))
+        tables = presentation.tables(presentation.status(sim.movers["a"], sim.now))
         self.assertEqual(tables[-1][1][:3], ["a", "big", "split it"])
 
     def test_next_is_when_something_happens(self) -> None:
@@ -1046,10 +1049,10 @@
         self.do("tick")
         self.do("tick")
 
-    def settle(self, name: str) -> list[decide.Action]:
+    def settle(self, name: str) -> list[controller.Action]:
         done = super().settle(name)
         for one in self.movers[name].history:  # given up: the source alone has it again
-            if one.state == decide.State.UNDONE and self.ever.get(one.step.tenant) == one.key[1:]:
+            if one.state == controller.State.UNDONE and self.ever.get(one.step.tenant) == one.key[1:]:
                 del self.ever[one.step.tenant]
         for one in self.live(name):
             self.ever[one.step.tenant] = one.key[1:]
@@ -1188,17 +1191,24 @@
     def test_what_is_taken_out_is_found(self) -> None:
         event = Mover._event
 
-        def rash(mover: Mover, now: float, record: decide.Record) -> tuple[Event, str] | None:
+        def rash(mover: Mover, now: float, record: controller.Record) -> tuple[Event, str] | None:
             """The source withdraws without asking whether the target holds it."""
-            if record.state in (decide.State.BEGUN, decide.State.SETTLING):
-                return (Event.HELD if record.state == decide.State.BEGUN else Event.SETTLED), "rash"
+            if record.state in (controller.State.BEGUN, controller.State.SETTLING):
+                return (Event.HELD if record.state == controller.State.BEGUN else Event.SETTLED), "rash"
             return event(mover, now, record)
 
         for owner, name, instead, first, left, said in (
-            (decide, "_remains", lambda member: member.there, "kept", LEAVE, r"nobody announces t, \['a'\]"),
-            (consent.Consent, "given", True, "asked", {}, "2 at once$"),
+            (
+                controller,
+                "_remains",
+                lambda member: member.there,
+                "kept",
+                LEAVE,
+                r"nobody announces t, \['a'\]",
+            ),
+            (quorum.Consent, "given", True, "asked", {}, "2 at once$"),
             (Mover, "_event", rash, "begun", {}, "nobody announces t"),
-        ):  # fmt: skip
+        ):
             with self.subTest(name), mock.patch.object(owner, name, instead):
                 why, path, _ = explore(PATHS[first], self.MOST, **left)
                 self.assertRegex(why, f"^{said}", path)
--- a/tests/test_node.py
+++ b/tests/test_proxy.py
@@ -25,32 +25,32 @@
 import anyio
 import orjson
 
-from examples.standins import LOST
-from standins.customers import Line
-from standins.processes import AGAIN, KILL, TERM, Drill, drill
-from tests import server as quiet  # no log lines
+from examples.fakes import LOST
+from fakes.clients import Line
+from fakes.processes import AGAIN, KILL, TERM, Drill, drill
+from tests import app_server as quiet  # no log lines
 from tests.conformance.tables import Case, Row, played, rows
-from thymeyoke.affinity.decide import Seat, Why
-from thymeyoke.announce.decide import Decider, Level, Look, Terms
-from thymeyoke.members.section import Members
-from thymeyoke.members.view import Member, Snapshot, State, Trust, View
-from thymeyoke.moves.decide import Level as Announced
-from thymeyoke.moves.section import Moves
-from thymeyoke.net import log
-from thymeyoke.net.behind import Refused
-from thymeyoke.net.clock import clock
-from thymeyoke.node import connects, levels, life, process, relay, service
-from thymeyoke.node.admit import Table, Waiter
-from thymeyoke.node.connects import Connects, Next, Open
-from thymeyoke.node.figures import Rates
-from thymeyoke.node.guests import Guests, Place
-from thymeyoke.node.process import Node
-from thymeyoke.node.relay import KERNEL, WINDOW, Relays
-from thymeyoke.node.section import Node as NodeTold
-from thymeyoke.node.section import Service
-from thymeyoke.orders import HostPort
-
-PAGE = "docs/node.md"
+from thymeyoke.affinity.controller import Seat, Why
+from thymeyoke.bgp.controller import Decider, Level, Look, Terms
+from thymeyoke.configuration.service_config import HostPort
+from thymeyoke.membership.configuration import Members
+from thymeyoke.membership.view import Member, Snapshot, State, Trust, View
+from thymeyoke.migration.configuration import Moves
+from thymeyoke.migration.controller import Level as Announced
+from thymeyoke.proxy import advertisement_levels, listener, process, relay, session_state, upstream_connector
+from thymeyoke.proxy.client_session import Guests, Place
+from thymeyoke.proxy.configuration import Node as NodeTold
+from thymeyoke.proxy.configuration import Service
+from thymeyoke.proxy.connection_admission import Table, Waiter
+from thymeyoke.proxy.load import Rates
+from thymeyoke.proxy.process import Node
+from thymeyoke.proxy.relay import KERNEL, WINDOW, Relays
+from thymeyoke.proxy.upstream_connector import Connects, Next, Open
+from thymeyoke.runtime import logs
+from thymeyoke.runtime.clock import clock
+from thymeyoke.runtime.extensions import Refused
+
+PAGE = "docs/proxy.md"
 MOST = 8  # of the tables here: a tenant's share is 2
 HERE = "127.0.0.1"
 RULES: dict[Any, Case] = {}
@@ -212,10 +212,10 @@
         (self.customer, self.near), (self.server, near) = self.tcp(), self.tcp()
         self.relay = self.relays.begin(self.near, near, self.ended)
         self.said = self.sent = self.overs = 0  # octets of `answer`, of `fill`; how often it was told its end
-        log.counts.clear()
+        logs.counts.clear()
         self.end = lambda what, at: getattr(self, what).shutdown(socket.SHUT_WR)
         self.quit = lambda what, at: getattr(self, what).close()
-        self.counted = lambda what, at: log.counts[what]
+        self.counted = lambda what, at: logs.counts[what]
         self.stand = lambda what, at: self.relays.sweep(self.relays.swept_at + at)  # this process stood still
         self.dropped = lambda what, at: 1 << 20 <= self.relay.ways[0].dropped < (1 << 20) + WINDOW
         self.writing = lambda what, at: self.all(what, at, 512)
@@ -329,7 +329,7 @@
         relays.swept_at = since
         for span in (*range(1, int(at), 4), at - 0.01, at):
             relays.sweep(since + span)
-            found.append((not (relays.every or relays.rests), log.counts[counter]))
+            found.append((not (relays.every or relays.rests), logs.counts[counter]))
         return self.overs == 1 and found == [*[(False, 0)] * (len(found) - 1), (True, 1)]
 
     def close(self, what: str = "", at: float = 0.0) -> None:
@@ -412,7 +412,7 @@
     await ends.answer("whole")
     other = Ends(ends.relays)
     await other.answer("whole")
-    t.assertEqual((list(ends.relays.rests), log.counts["node_rest_late"]), ([other.relay.ways[0]], 1))
+    t.assertEqual((list(ends.relays.rests), logs.counts["node_rest_late"]), ([other.relay.ways[0]], 1))
     t.assertEqual((ends.near.fileno(), ends.overs, other.overs), (-1, 1, 1))
     other.close()
 
@@ -482,7 +482,7 @@
         guests._connect = lambda now, guest: None  # type: ignore[method-assign]
         guests.settle(now)
         self.assertEqual(len(guests.connects.out), 2)  # with no way there
-        guests.settle(now + connects.TIMEOUT)
+        guests.settle(now + upstream_connector.TIMEOUT)
         self.assertEqual((guests.connects.out, guests.every), ({}, {}))
 
     async def test_seats_hear_of_a_standstill_before_a_connect_s_outcome(self) -> None:
@@ -507,7 +507,7 @@
         one, other = (Place(socket.AF_INET, (host, 4100)) for host in (HERE, "127.0.0.9"))
         self.assertEqual(here.guests.places, {"a": one, "d": one, "e": other})
         self.assertEqual(set(here.seats.servers), {"a", "d", "e"})
-        self.assertEqual(log.gauges["node_servers_nowhere"], 2)
+        self.assertEqual(logs.gauges["node_servers_nowhere"], 2)
 
     async def test_a_node_that_leaves_waits_for_rests(self) -> None:
         here = node(self)
@@ -518,9 +518,9 @@
 
     async def test_no_descriptor_for_a_listener(self) -> None:
         none = OSError(errno.EMFILE, "Too many open files")
-        with mock.patch.object(service.socket, "socket", side_effect=none), self.assertRaisesRegex(
+        with mock.patch.object(listener.socket, "socket", side_effect=none), self.assertRaisesRegex(
                 Refused, r"north\] address: .* \(Too many open files\); give"):  # fmt: skip
-            service.Service(SERVICE.told, 0, lambda *_: None).open(1)
+            listener.Service(SERVICE.told, 0, lambda *_: None).open(1)
 
 
 NEEDS = 2304 + 64 + 16  # descriptors of a node, besides its connections and services
@@ -553,7 +553,7 @@
     """A node that holds 1,023 tenants by its file, t0000 to t1022, and may hold seven more."""
     node, said, lines = Node(orders(), 7), dict[str, Any](), list[str]()
     node.fleet.say = said.update  # type: ignore[method-assign]
-    log.gauges.clear()
+    logs.gauges.clear()
     services = [service_at(f"t{at:04}", standby=at >= 1023) for at in range(1030)]
     node.moving.change(0.0, Moves(act="move"), services)
     places = cast(Any, node.moving.mover).places
@@ -561,11 +561,11 @@
     def told(what: str, at: float) -> str:
         """Its room, which of the seven it tells, how many it does not, and lines."""
         lines.clear()
-        with mock.patch.object(log, "say", lambda level, what, *_, **__: lines.append(what)):
+        with mock.patch.object(logs, "say", lambda level, what, *_, **__: lines.append(what)):
             node._say(clock())
         assert len(said["holds"]) <= 1024
         seven = listed(one for one in said["holds"] if one > "t1022")
-        return f"{said['room']}/{seven}/{log.gauges['node_tenants_untold']}/{len(lines)}"
+        return f"{said['room']}/{seven}/{logs.gauges['node_tenants_untold']}/{len(lines)}"
 
     return SimpleNamespace(
         told=told, full=lambda what, at: setattr(places[what], "level", Announced.FULL),
@@ -604,9 +604,9 @@
 
     t.assertEqual(settled(0.0), [Level.FULL] * 3)
     for low, wanted in (({"a": "less"}, Level.LESS), ({"a": "withdrawn"}, Level.WITHDRAWN), ({}, Level.FULL)):
-        decider.caps = levels.caps(ADDRESSES, SERVICES, low)
+        decider.caps = advertisement_levels.caps(ADDRESSES, SERVICES, low)
         t.assertEqual(settled(10.0 * len(decider.caps) + 10.0 * wanted), [wanted, Level.FULL, Level.FULL])
-    decider.caps = levels.caps(ADDRESSES, SERVICES, {"a": "less"})
+    decider.caps = advertisement_levels.caps(ADDRESSES, SERVICES, {"a": "less"})
     decider.leave(100.0, 104.0)
     t.assertEqual(settled(101.0), [Level.WITHDRAWN] * 3)  # a cap lifts nothing
 
@@ -618,18 +618,18 @@
         ({"a": "withdrawn"}, []), ({"a": "withdrawn", "c": "less"}, [Level.LESS]),
         ({"a": "withdrawn", "c": "withdrawn"}, [Level.WITHDRAWN]),
     ):  # fmt: skip
-        t.assertEqual([why.level for why in levels.caps(ADDRESSES, both, low).values()], wanted)
+        t.assertEqual([why.level for why in advertisement_levels.caps(ADDRESSES, both, low).values()], wanted)
 
 
 class Page(unittest.TestCase):
     def test_states(self) -> None:
         def case(t: unittest.TestCase, row: Row) -> None:
-            step = life.step(life.At[row["state"]], life.Event[row["event"]])
+            step = session_state.step(session_state.At[row["state"]], session_state.Event[row["event"]])
             after = row["state"] if row["next state"] == "-" else row["next state"]
             out = [] if row["what goes out"] == "-" else row["what goes out"].replace("`", "").split(", ")
             t.assertEqual((step.at.name, [do.name for do in step.out]), (after, out))
 
-        names = itertools.product(life.At.__members__, life.Event.__members__)
+        names = itertools.product(session_state.At.__members__, session_state.Event.__members__)
         played(self, rows(PAGE, "States"), ("state", "event"), dict.fromkeys(names, case))
 
     def test_rules(self) -> None:
@@ -637,16 +637,16 @@
 
     def test_every_place_is_given_back_once(self) -> None:
         """Whatever happens in whatever order, up to eight events."""
-        seen = {(life.At.SILENT, 0, 0)}
+        seen = {(session_state.At.SILENT, 0, 0)}
         for _ in range(8):
-            for (at, places, closed), event in itertools.product(list(seen), life.Event):
-                step = life.step(at, event)
-                took = (at, event) == (life.At.WAITING, life.Event.LET_IN)
-                places_now = places + took - (life.Do.GIVE_BACK in step.out)
-                seen.add((step.at, places_now, closed + (life.Do.CLOSE in step.out)))
-        inside = (life.At.SEATING, life.At.CONNECTING, life.At.PASSING)
+            for (at, places, closed), event in itertools.product(list(seen), session_state.Event):
+                step = session_state.step(at, event)
+                took = (at, event) == (session_state.At.WAITING, session_state.Event.LET_IN)
+                places_now = places + took - (session_state.Do.GIVE_BACK in step.out)
+                seen.add((step.at, places_now, closed + (session_state.Do.CLOSE in step.out)))
+        inside = (session_state.At.SEATING, session_state.At.CONNECTING, session_state.At.PASSING)
         self.assertEqual({(at in inside, places) for at, places, _ in seen}, {(True, 1), (False, 0)})
-        gone = {(at is life.At.GONE, closed) for at, _, closed in seen}
+        gone = {(at is session_state.At.GONE, closed) for at, _, closed in seen}
         self.assertEqual(gone, {(False, 0), (True, 0), (True, 1)})
 
 
@@ -709,7 +709,7 @@
                     self.assertEqual((door.out, set(door.waiting)), (
                         len(there & made.out.keys()), there - made.out.keys()))  # fmt: skip
                     self.assertTrue(0 <= door.out <= 8 and 1 <= door.window <= 8)
-                self.assertLessEqual(max(tries.values(), default=0), connects.TRIES)
+                self.assertLessEqual(max(tries.values(), default=0), upstream_connector.TRIES)
                 self.assertEqual({key: many for key, many in tries.items() if many}, made.tries)
                 self.assertGreaterEqual(made.next(now), now)
 
--- a/tests/test_net.py
+++ b/tests/test_server.py
@@ -18,17 +18,18 @@
 import msgpack
 import orjson
 
-from examples.standins import Database, Processor, Roster
-from standins.processes import Spent
-from tests.server import place, steady, told, until
-from thymeyoke import start
-from thymeyoke.choice import Choice
-from thymeyoke.net import database, desk, front, invariants, log, mail, processor, rpc
-from thymeyoke.net.keys import Keys, Result
-from thymeyoke.port import actions as act
-from thymeyoke.port.facts import Outcome
-
-NAMES = start.names(told()["settings"])
+from examples.fakes import Database, Processor, Roster
+from fakes.processes import Spent
+from tests.app_server import place, steady, told, until
+from thymeyoke.admission import actions as act
+from thymeyoke.admission.controller import Choice
+from thymeyoke.admission.settings import Outcome
+from thymeyoke.configuration import start_file
+from thymeyoke.runtime import invariants, logs
+from thymeyoke.server import dependency, dispatcher, listener, messages, processor, routers_wire
+from thymeyoke.server.idempotency import Keys, Result
+
+NAMES = start_file.names(told()["settings"])
 REF = "9b1f03aa5c7e2d41"
 FIELDS = {"ref": REF, "since": "1764576000123", "sender": "4", "project": "south", "allow": "480",
           "room": "24.5", "class_rank": "0.625"}  # fmt: skip
@@ -46,11 +47,16 @@
         body = bytes(range(256))
         frames = [[0, 7, "buy", [FIELDS | KEY, body]], [0, 8, "alive", [{}]], [2, "cancelRequest", [7]],
                   [0, 9, "look", [FIELDS | {"lookup": "7f3a"}, b""]]]  # fmt: skip
-        order = mail.Order(REF, 1, 1, 4, 1764576000.123, 0.48, 24.5, 0.625, KEY["replay"], None, body)
+        order = messages.Order(REF, 1, 1, 4, 1764576000.123, 0.48, 24.5, 0.625, KEY["replay"], None, body)
         second = order._replace(type=0, key=None, subject="7f3a", body=b"")
-        expected = [rpc.Ask(7, order), rpc.Check(8), rpc.Cancel(7), rpc.Ask(9, second)]
+        expected = [
+            routers_wire.Ask(7, order),
+            routers_wire.Check(8),
+            routers_wire.Cancel(7),
+            routers_wire.Ask(9, second),
+        ]
         for parts in pieces(b"".join(map(msgpack.packb, frames))):
-            reader = rpc.Reader(NAMES)
+            reader = routers_wire.Reader(NAMES)
             self.assertEqual([message for part in parts for message in reader.feed(part)], expected)
 
     def test_what_is_not_told_everywhere(self) -> None:
@@ -63,17 +69,17 @@
             ({"allow": "480"}, (0.48, 0.0, False)),
         ]
         for more, said in cases:
-            (ask,) = rpc.Reader(NAMES).feed(msgpack.packb([0, 7, "look", [bare | more, b""]]))
-            self.assertIsInstance(ask, rpc.Ask)
+            (ask,) = routers_wire.Reader(NAMES).feed(msgpack.packb([0, 7, "look", [bare | more, b""]]))
+            self.assertIsInstance(ask, routers_wire.Ask)
             self.assertEqual((ask.order.patience, round(ask.order.work, 6), ask.order.further), said)
 
     def test_an_idle_connection_holds_no_decoder(self) -> None:
         """Each takes some 50 KB: with hundreds of connections held open that was most of the memory."""
-        reader, data = rpc.Reader(NAMES), msgpack.packb([0, 8, "alive", [{}]])
+        reader, data = routers_wire.Reader(NAMES), msgpack.packb([0, 8, "alive", [{}]])
         for _ in range(2):
             self.assertEqual((reader.feed(data[:5]), reader.half()), ([], True))
             self.assertIsNotNone(reader.unpacker)
-            self.assertEqual(reader.feed(data[5:]), [rpc.Check(8)])
+            self.assertEqual(reader.feed(data[5:]), [routers_wire.Check(8)])
             self.assertEqual((reader.half(), reader.unpacker), (False, None))
 
     def test_ops_that_are_not_understood_can_be_answered(self) -> None:
@@ -87,8 +93,8 @@
                    [0, 3, "look", []], [0, 3, "look", [FIELDS, "text"]], [0, 3, "alive", []]]  # fmt: skip
         for frame in frames:
             with self.subTest(frame=str(frame)[-60:]):
-                (message,) = rpc.Reader(NAMES).feed(msgpack.packb(frame))
-                self.assertEqual((type(message), message[0]), (rpc.Unclear, 3))
+                (message,) = routers_wire.Reader(NAMES).feed(msgpack.packb(frame))
+                self.assertEqual((type(message), message[0]), (routers_wire.Unclear, 3))
 
     def test_what_is_no_frame_ends_the_connection(self) -> None:
         frames = [5, "text", [], [0, "7", "look", [FIELDS, b""]], [2, "dance", [7]], {"a": 1}, [7, 1, 2, 3],
@@ -98,50 +104,50 @@
         level = b"\x82\xa1a\xd9\xff" + b"x" * 255 + b"\xa1b"  # a map whose second value is one more such map
         bytes_ = [b"\xc1", b"GET / HTTP/1.1\r\n\r\n", b"\x94\x00\x01\xa1\xff", b"\x94\x00\x01" + level * 70]
         for data in [*map(msgpack.packb, frames), *bytes_]:
-            with self.subTest(data=data[:20]), self.assertRaises(rpc.BadFrame):
-                reader = rpc.Reader(NAMES)
+            with self.subTest(data=data[:20]), self.assertRaises(routers_wire.BadFrame):
+                reader = routers_wire.Reader(NAMES)
                 for _ in range(40):
                     reader.feed(data)
 
     def test_answers(self) -> None:
-        ack, nack, fail = mail.Verdict.ACK, mail.Verdict.NACK, mail.Verdict.FAIL
+        ack, nack, fail = messages.Verdict.ACK, messages.Verdict.NACK, messages.Verdict.FAIL
         cases = [
-            (mail.Answer(7, ack, b"\xff\x00", 0.25), [1, 7, None, [b"\xff\x00", {"pressure": "0.25"}]]),
-            (mail.Answer(7, ack), [1, 7, None, [b"", {}]]),
-            (mail.Answer(7, nack, wait=0.25, nowhere_else=True),
+            (messages.Answer(7, ack, b"\xff\x00", 0.25), [1, 7, None, [b"\xff\x00", {"pressure": "0.25"}]]),
+            (messages.Answer(7, ack), [1, 7, None, [b"", {}]]),
+            (messages.Answer(7, nack, wait=0.25, nowhere_else=True),
              [1, 7, ["Shed", {"cooldown": "250", "nowhere": "1"}], None]),
-            (mail.Answer(7, nack, value=0.0), [1, 7, ["Shed", {"pressure": "0"}], None]),
-            (mail.Answer(7, fail), [1, 7, ["Fault", {}], None]),
-            (mail.Fitness(8, True, 1.5), [1, 8, None, [True, {"pressure": "1.5"}]]),
-            (mail.Leaving(), [2, "leaving", []]),
+            (messages.Answer(7, nack, value=0.0), [1, 7, ["Shed", {"pressure": "0"}], None]),
+            (messages.Answer(7, fail), [1, 7, ["Fault", {}], None]),
+            (messages.Fitness(8, True, 1.5), [1, 8, None, [True, {"pressure": "1.5"}]]),
+            (messages.Leaving(), [2, "leaving", []]),
         ]  # fmt: skip
         for what, frame in cases:
             with self.subTest(what=what):
-                self.assertEqual(msgpack.unpackb(rpc.encode(what)), frame)
+                self.assertEqual(msgpack.unpackb(routers_wire.encode(what)), frame)
 
     def test_commands_and_notices(self) -> None:
         """Bodies of any bytes travel as base64; `goon` takes up a paused run and nothing else."""
         cases = [
-            (mail.Begin("a", 1, b"\x00\xff"),
+            (messages.Begin("a", 1, b"\x00\xff"),
              {"event": "begin", "handle": "a", "entry": "buy", "arg": "AP8="}),
-            (mail.Reply("a", b""), {"event": "answer", "handle": "a", "arg": ""}),
-            (mail.Interrupt("a"), {"event": "interrupt", "handle": "a"}),
-            (mail.TakeUp("a"), {"event": "goon", "handle": "a"}),
-            (mail.Without("a"), {"event": "without", "handle": "a"}),
-            (mail.Gauge(), {"event": "usage", "ticket": "gauges"}),
+            (messages.Reply("a", b""), {"event": "answer", "handle": "a", "arg": ""}),
+            (messages.Interrupt("a"), {"event": "interrupt", "handle": "a"}),
+            (messages.TakeUp("a"), {"event": "goon", "handle": "a"}),
+            (messages.Without("a"), {"event": "without", "handle": "a"}),
+            (messages.Gauge(), {"event": "usage", "ticket": "gauges"}),
         ]  # fmt: skip
         for command, said in cases:
             self.assertEqual(orjson.loads(processor.encode(command, ["look", "buy"])), said)
         cases = [
-            (b'{"event":"hi","fate":"COLD","lasted":1500}', (0, mail.Up(True, 1.5))),
+            (b'{"event":"hi","fate":"COLD","lasted":1500}', (0, messages.Up(True, 1.5))),
             (b'{"event":"complete","cursor":3,"handle":"a","fate":"OK","lasted":1,"arg":"AP8="}',
-             (3, mail.Ended("a", Outcome.OK, b"\x00\xff", 0.001))),
+             (3, messages.Ended("a", Outcome.OK, b"\x00\xff", 0.001))),
             (b'{"event":"complete","cursor":4,"handle":"a","fate":"STOPPED","lasted":1}',
-             (4, mail.Ended("a", Outcome.STOPPED, b"", 0.001))),
-            (b'{"event":"ask","cursor":5,"handle":"a","arg":"AP8="}', (5, mail.Asked("a", b"\x00\xff"))),
-            (b'{"event":"used","ticket":"gauges","figures":[0.5,3]}', (0, mail.Gauges((0.5, 3.0)))),
-            (b'{"event":"used","ticket":"sync2","figures":[]}', (0, mail.Synced(2))),
-            (b'{"event":"reject","fate":"begin","handle":"a"}', (0, mail.Refused("a", mail.Begin))),
+             (4, messages.Ended("a", Outcome.STOPPED, b"", 0.001))),
+            (b'{"event":"ask","cursor":5,"handle":"a","arg":"AP8="}', (5, messages.Asked("a", b"\x00\xff"))),
+            (b'{"event":"used","ticket":"gauges","figures":[0.5,3]}', (0, messages.Gauges((0.5, 3.0)))),
+            (b'{"event":"used","ticket":"sync2","figures":[]}', (0, messages.Synced(2))),
+            (b'{"event":"reject","fate":"begin","handle":"a"}', (0, messages.Refused("a", messages.Begin))),
             (b'{"event":"remark","cursor":6,"fate":"hm"}', (6, None)),
         ]  # fmt: skip
         for line, said in cases:
@@ -154,24 +160,24 @@
 
     def test_replies_cut_anywhere(self) -> None:
         data = b"a ROWS 6\r\nx\r\nb F\r\nb FULL\r\nc ROWS 0\r\n\r\nd NONE\r\ne FAIL\r\nf TIMEOUT\r\n"
-        expected = [database.Back("a", Outcome.OK, b"x\r\nb F"), database.Back("b", Outcome.FULL, b""),
-                    database.Back("c", Outcome.OK, b""), database.Back("d", Outcome.MOOT, b""),
-                    database.Back("e", Outcome.ERROR, b""),
-                    database.Back("f", Outcome.TIMEOUT, b"")]  # fmt: skip
+        expected = [dependency.Back("a", Outcome.OK, b"x\r\nb F"), dependency.Back("b", Outcome.FULL, b""),
+                    dependency.Back("c", Outcome.OK, b""), dependency.Back("d", Outcome.MOOT, b""),
+                    dependency.Back("e", Outcome.ERROR, b""),
+                    dependency.Back("f", Outcome.TIMEOUT, b"")]  # fmt: skip
         for parts in pieces(data):
-            reader = database.Reader()
+            reader = dependency.Reader()
             self.assertEqual([back for part in parts for back in reader.feed(part)], expected)
         for bad in (b"a\r\n", b"a WELL\r\n", b"a ROWS x\r\n", b"a ROWS -2\r\n", b"a ROWS 1 2\r\n",
                     b"\xff X\r\n", b"a ROWS 1\r\nxyz", b"a" * 70000):  # fmt: skip
-            with self.subTest(bad=bad[:20]), self.assertRaises(database.BadReply):
-                database.Reader().feed(bad)
-        call = mail.Call(REF, 10.25, b"a\r\nb")
-        self.assertEqual(database.encode(call, 10.0), b"Q " + REF.encode() + b" 250 4\r\na\r\nb\r\n")
+            with self.subTest(bad=bad[:20]), self.assertRaises(dependency.BadReply):
+                dependency.Reader().feed(bad)
+        call = messages.Call(REF, 10.25, b"a\r\nb")
+        self.assertEqual(dependency.encode(call, 10.0), b"Q " + REF.encode() + b" 250 4\r\na\r\nb\r\n")
 
     def test_log_lines(self) -> None:
-        record = log.logger.makeRecord("t", logging.INFO, "f", 1, "op ended", (), None, extra={
+        record = logs.logger.makeRecord("t", logging.INFO, "f", 1, "op ended", (), None, extra={
             "pairs": {"id": "a1", "took": 0.25, "why": 'two "words"\nand=', "none": ""}})  # fmt: skip
-        line = log.KeyValue().format(record)
+        line = logs.KeyValue().format(record)
         end = 'level=info what="op ended" id=a1 took=0.25 why="two \'words\'\\nand=" none=""'
         self.assertTrue(line.endswith(end), line)
 
@@ -188,15 +194,15 @@
             for why, change in cases:
                 change(given := told())
                 path.write_bytes(orjson.dumps(given))
-                with self.subTest(why), self.assertRaisesRegex(start.BadStart, why):
-                    start.read(path)
+                with self.subTest(why), self.assertRaisesRegex(start_file.BadStart, why):
+                    start_file.read(path)
             path.write_text("{")
-            with self.assertRaisesRegex(start.BadStart, "not JSON"):
-                start.read(path)
-            with self.assertRaisesRegex(start.BadStart, "cannot be read"):
-                start.read(path / "none")
+            with self.assertRaisesRegex(start_file.BadStart, "not JSON"):
+                start_file.read(path)
+            with self.assertRaisesRegex(start_file.BadStart, "cannot be read"):
+                start_file.read(path / "none")
             path.write_bytes(orjson.dumps(told()))
-            station, names, given = start.read(path)
+            station, names, given = start_file.read(path)
         self.assertEqual((station.stop, str(station.listen)), (2.0, "127.0.0.1:4100"))
         self.assertEqual((names.op_types, given["machine"].cores), ({"look": 0, "buy": 1}, 2))
 
@@ -204,8 +210,8 @@
 class UnprovenCommands(unittest.IsolatedAsyncioTestCase):
     """What a processor's link may have swallowed, by what was written, answered and lost."""
 
-    BEGIN, GAUGE = mail.Begin("run", 0, b""), mail.Gauge()
-    COMMANDS = (BEGIN, mail.Reply("called", b""), mail.TakeUp("paused"), mail.Without("poorer"))
+    BEGIN, GAUGE = messages.Begin("run", 0, b""), messages.Gauge()
+    COMMANDS = (BEGIN, messages.Reply("called", b""), messages.TakeUp("paused"), messages.Without("poorer"))
     LOST_AT = 10.0
     EARLY, LATE = LOST_AT - 1.1 * processor.LOST_SPAN, LOST_AT - 0.9 * processor.LOST_SPAN
 
@@ -221,7 +227,7 @@
             (self.EARLY, (gauge, begin, gauge, answered), {"run"}),
             (self.EARLY, (gauge, begin, gauge, answered, answered), set()),
             (self.EARLY, (answered, begin), {"run"}),
-            (self.LATE, (mail.Interrupt("stopped"), processor.Sync(2)), set()),
+            (self.LATE, (messages.Interrupt("stopped"), processor.Sync(2)), set()),
         ]
         for at, steps, lost in cases:
             with self.subTest(at=at, steps=steps):
@@ -237,7 +243,7 @@
         unproven = processor.Unproven()
         unproven.loses(self.EARLY, (self.BEGIN, self.GAUGE))
         unproven.answered(self.EARLY)  # to the link before: it proves nothing of this one
-        unproven.writes(self.EARLY, mail.Reply("called", b""))
+        unproven.writes(self.EARLY, messages.Reply("called", b""))
         unproven.loses(self.LOST_AT)
         self.assertEqual(unproven.take_lost(), {"run", "called"})
 
@@ -245,7 +251,7 @@
         for answers in (False, True):
             unproven = processor.Unproven()
             for number in range(2 * processor.MOST_UNPROVEN):
-                unproven.writes(self.LATE, mail.Begin(str(number), 0, b""))
+                unproven.writes(self.LATE, messages.Begin(str(number), 0, b""))
                 unproven.writes(self.LATE, self.GAUGE)
                 if answers:
                     unproven.answered(self.LATE)
@@ -256,11 +262,11 @@
                 self.assertEqual(len(unproven.proven), 0)
 
     async def test_a_command_that_finds_the_mailbox_full_is_lost_with_the_link(self) -> None:
-        peer = processor.Processor(start.Address("127.0.0.1", 1), NAMES, mock.Mock())
+        peer = processor.Processor(start_file.Address("127.0.0.1", 1), NAMES, mock.Mock())
         self.addCleanup(peer.outbox.close)
         self.addCleanup(peer.unsent.close)
         for number in range(processor.OUTBOX + 1):
-            peer.tell(mail.Begin(str(number), 0, b""))
+            peer.tell(messages.Begin(str(number), 0, b""))
         self.assertTrue(peer.scope.cancel_called)
         self.assertEqual(peer.unproven.take_lost(), {str(processor.OUTBOX)})
 
@@ -323,35 +329,35 @@
     """The module's actor alone: what it hears is put in, what it tells its peers is kept."""
 
     def setUp(self) -> None:
-        self.desk = desk.Desk(2.0, start.start(7, told()["settings"]))
+        self.desk = dispatcher.Desk(2.0, start_file.start(7, told()["settings"]))
         self.processor = mock.Mock()
         self.desk.meet(mock.Mock(), self.processor, mock.Mock(), mock.Mock())
         self.addCleanup(self.desk.events.close)
         self.addCleanup(self.desk.inbox.close)
 
-    def order(self, at: int) -> mail.Arrived:
-        order = mail.Order(f"{at:016x}", 0, 0, 1, time.time(), 2.0, 9.0, 0.5, None, None, b"")
-        return mail.Arrived(mock.Mock(), at, order)
+    def order(self, at: int) -> messages.Arrived:
+        order = messages.Order(f"{at:016x}", 0, 0, 1, time.time(), 2.0, 9.0, 0.5, None, None, b"")
+        return messages.Arrived(mock.Mock(), at, order)
 
     def begins(self) -> int:
-        return sum(isinstance(call.args[0], mail.Begin) for call in self.processor.tell.call_args_list)
+        return sum(isinstance(call.args[0], messages.Begin) for call in self.processor.tell.call_args_list)
 
     def test_what_a_lost_link_swallowed_is_sent_again_though_the_next_is_lost_too(self) -> None:
         """And what is proven to have come through is not: its run may end just now."""
         now = time.time()
         for lost, begins in [({f"{1:016x}"}, 2), ({f"{2:016x}"}, 1), (set(), 1)]:
             self.setUp()
-            for event in (mail.Up(False, 0.0), mail.Synced(1), self.order(1)):
+            for event in (messages.Up(False, 0.0), messages.Synced(1), self.order(1)):
                 self.desk._hear(now, event)
             self.desk._settle(now)
-            for event in (mail.Down(), mail.Down(), mail.Synced(3, frozenset(lost))):
+            for event in (messages.Down(), messages.Down(), messages.Synced(3, frozenset(lost))):
                 self.desk._hear(now, event)
             self.assertEqual(self.begins(), begins)
 
     def test_an_op_whose_time_left_is_not_told(self) -> None:
         """Its type's timeout counts, here and in the module; once such an op was not understood at all."""
         now = time.time()
-        self.desk._hear(now, mail.Up(False, 0.0))
+        self.desk._hear(now, messages.Up(False, 0.0))
         arrived = self.order(1)
         self.desk._hear(now, arrived._replace(order=arrived.order._replace(patience=0.0, since=now - 0.5)))
         slip, job = self.desk.slips[f"{1:016x}"], self.desk.yoke.jobs[f"{1:016x}"]
@@ -359,7 +365,7 @@
         for due in (slip.due, job.due):
             self.assertAlmostEqual(due, now - 0.5 + timeout, places=3)
         self.desk._carry_out(now, act.GoOn(f"{1:016x}"))
-        self.assertEqual(slip.command, mail.Without(f"{1:016x}"))
+        self.assertEqual(slip.command, messages.Without(f"{1:016x}"))
 
     def test_an_id_that_is_retained_is_not_taken_again(self) -> None:
         """A bad client sent an open op's id, with a key of its own, just as that op ended. The processor
@@ -367,40 +373,42 @@
         now = time.time()
         asker, bad = mock.Mock(), mock.Mock()
 
-        def op(id: str, key: str, asker: mock.Mock) -> mail.Arrived:
+        def op(id: str, key: str, asker: mock.Mock) -> messages.Arrived:
             body = key.encode()
-            return mail.Arrived(asker, 1, mail.Order(id, 1, 0, 1, now, 2.0, 9.0, 0.5, key, None, body))
+            return messages.Arrived(
+                asker, 1, messages.Order(id, 1, 0, 1, now, 2.0, 9.0, 0.5, key, None, body)
+            )
 
-        for event in (mail.Up(False, 0.0), mail.Synced(1), op("a" * 16, "k", asker)):
+        for event in (messages.Up(False, 0.0), messages.Synced(1), op("a" * 16, "k", asker)):
             self.desk._hear(now, event)
         self.desk._settle(now)
         self.assertEqual(self.begins(), 1)
-        self.desk._hear(now, mail.Ended("a" * 16, Outcome.OK, b"done", 0.003))
+        self.desk._hear(now, messages.Ended("a" * 16, Outcome.OK, b"done", 0.003))
         self.desk._hear(now, op("a" * 16, "other", bad))
         self.desk._settle(now)
-        self.desk._hear(now, mail.Refused("a" * 16, mail.Begin))
+        self.desk._hear(now, messages.Refused("a" * 16, messages.Begin))
         self.desk._hear(now, op("b" * 16, "k", asker))
         self.desk._settle(now)
         self.assertEqual(self.begins(), 1)
-        self.assertEqual([call.args[0].verdict for call in bad.tell.call_args_list], [mail.Verdict.FAIL])
+        self.assertEqual([call.args[0].verdict for call in bad.tell.call_args_list], [messages.Verdict.FAIL])
         told = [(call.args[0].verdict, call.args[0].body) for call in asker.tell.call_args_list]
-        self.assertEqual(told, [(mail.Verdict.ACK, b"done")] * 2)
+        self.assertEqual(told, [(messages.Verdict.ACK, b"done")] * 2)
 
     def test_a_server_with_nothing_below(self) -> None:
         """Its start file names no database, and none is asked; once it did not start."""
         given = told(settings__family_info__below="silent")
         del given["db"]
-        self.assertIsNone(start.station(given).database)
-        below = database.Database(None, self.desk.inbox)
-        self.assertFalse(below.tell(mail.Call(REF, 1.0, b"")))
+        self.assertIsNone(start_file.station(given).database)
+        below = dependency.Database(None, self.desk.inbox)
+        self.assertFalse(below.tell(messages.Call(REF, 1.0, b"")))
         below.outbox.close()
         below.unsent.close()
-        with self.assertRaisesRegex(start.BadStart, "lacks 'db'"):
-            start.station(given | {"settings": told()["settings"]})
+        with self.assertRaisesRegex(start_file.BadStart, "lacks 'db'"):
+            start_file.station(given | {"settings": told()["settings"]})
 
     async def test_events_gather_in_a_crowd(self) -> None:
         """Few are heard at once, one by one; many wait for a tick, in which more come: one settle for all."""
-        for at_once, settles in [(1, 8), (desk.CROWD, 2)]:
+        for at_once, settles in [(1, 8), (dispatcher.CROWD, 2)]:
             self.setUp()
             self.desk.tick = 0.05
             with mock.patch.object(self.desk, "_settle", side_effect=lambda now: None) as settle:
@@ -408,7 +416,7 @@
                     tasks.start_soon(self.desk.run)
                     for batch in range(8 // at_once):
                         for _ in range(at_once):
-                            self.desk.inbox.send_nowait(mail.Gauges(()))
+                            self.desk.inbox.send_nowait(messages.Gauges(()))
                         await until(lambda n=batch: settle.call_count > n)
                     await anyio.sleep(0.06)  # and none that is left for later
                     tasks.cancel_scope.cancel()
@@ -420,7 +428,7 @@
     times = 1
 
     def setUp(self) -> None:
-        log.counts.clear()
+        logs.counts.clear()
 
     async def test_one_answer_with_what_its_run_made(self) -> None:
         async with place() as here:
@@ -441,7 +449,7 @@
             router, spent = await here.router(), Spent()
             for _ in range(40):
                 await router.answer(await router.check())
-            self.assertLess(spent.seconds(), 40 * desk.FAREWELL / 2)
+            self.assertLess(spent.seconds(), 40 * dispatcher.FAREWELL / 2)
 
     async def test_repeats_get_the_result_of_the_one_run(self) -> None:
         """While it runs, in one batch with it, and after its end."""
@@ -490,7 +498,7 @@
             here.processor.end(here.processor.begun[2])
             self.assertIsNone((await halved.answer(number))[0])
             await halved.until(lambda: halved.closed)
-            self.assertEqual((left.answers, log.counts["gone"]), ({}, 2))
+            self.assertEqual((left.answers, logs.counts["gone"]), ({}, 2))
 
     async def test_bad_input_ends_its_own_connection_alone(self) -> None:
         async with place() as here:
@@ -503,7 +511,7 @@
             error, _ = await unclear.answer(await unclear.ask("sell"))
             self.assertEqual(error[0], "Shed")
             self.assertIsNone((await unclear.answer(await unclear.ask("look")))[0])
-            for _ in range(front.UNCLEAR_LIMIT):  # the same again, as soon as it is turned away
+            for _ in range(listener.UNCLEAR_LIMIT):  # the same again, as soon as it is turned away
                 await unclear.ask("sell")
             await unclear.until(lambda: unclear.closed)
             self.assertIsNone((await good.answer(await good.ask("look")))[0])
@@ -548,7 +556,7 @@
             for number in (frames[0][0], repeat):
                 self.assertIsNone((await router.answer(number))[0])
             self.assertEqual((await router.answer(await router.ask("buy", b"y", **KEY)))[0][0], "Fault")
-            self.assertEqual((len(here.processor.begun), log.counts["other_body"]), (1, 3))
+            self.assertEqual((len(here.processor.begun), logs.counts["other_body"]), (1, 3))
 
     async def test_a_run_that_was_not_begun_leaves_its_key_free(self) -> None:
         """Its time, next to nothing, is not learned either: `moot` is how such a run ended."""
@@ -558,13 +566,13 @@
             error, _ = await router.answer(await router.ask("buy", b"nobody's", **KEY))
             self.assertEqual(error[0], "Fault")
             self.assertIsNone((await router.answer(await router.ask("buy", b"x", **KEY)))[0])
-            self.assertEqual((log.counts["run_moot"], log.counts["run_error"]), (1, 0))
+            self.assertEqual((logs.counts["run_moot"], logs.counts["run_error"]), (1, 0))
 
     async def test_silent_and_half_said_peers_are_closed(self) -> None:
         async with place() as here:
             router = await here.router()
             await router.answer(await router.check())
-            with mock.patch.multiple(front, HALF_SAID=0.1 * self.times, LOOK=0.02):
+            with mock.patch.multiple(listener, HALF_SAID=0.1 * self.times, LOOK=0.02):
                 silent, half, drip = [await here.router() for _ in range(3)]
                 await half.stream.send(half.frame("look")[1][:40])
                 await drip.stream.send(drip.frame("look")[1] + drip.frame("look")[1][:40])
@@ -572,17 +580,17 @@
                 for peer in (silent, half, drip):
                     await peer.until(lambda peer=peer: peer.closed)
                 self.assertIsNone((await router.answer(await router.ask("look")))[0])
-                self.assertEqual(log.counts["half_said"], 3)
+                self.assertEqual(logs.counts["half_said"], 3)
 
     async def test_what_peers_do_wrong_fills_no_log(self) -> None:
         async with place() as here:
-            with self.assertLogs(log.logger, logging.WARNING) as logs:
-                for _ in range(3 * log.PEER_LINES):
+            with self.assertLogs(logs.logger, logging.WARNING) as captured:
+                for _ in range(3 * logs.PEER_LINES):
                     bad = await here.router()
                     await bad.stream.send(b"\xc1")
                     await bad.until(lambda bad=bad: bad.closed)
-            self.assertLessEqual(len(logs.output), log.PEER_LINES)
-            self.assertEqual(log.counts["bad_frame"], 3 * log.PEER_LINES)
+            self.assertLessEqual(len(captured.output), logs.PEER_LINES)
+            self.assertEqual(logs.counts["bad_frame"], 3 * logs.PEER_LINES)
 
     async def test_before_the_processor_is_up(self) -> None:
         """Health is good, ops are turned away, and no command goes out: one sent then is not carried out, and
@@ -629,7 +637,9 @@
             self.assertEqual(hello["cursor"], 0)
             with mock.patch.object(processor, "encode", return_value=b"") as swallowed:
                 number = await router.ask("look", b"a")
-                await until(lambda: any(type(said.args[0]) is mail.Begin for said in swallowed.mock_calls))
+                await until(
+                    lambda: any(type(said.args[0]) is messages.Begin for said in swallowed.mock_calls)
+                )
             await here.processor.cut()
             self.assertIsNone((await router.answer(number))[0])
 
@@ -649,11 +659,11 @@
             await here.database.until(lambda: here.database.heard)
             await here.database.cut()  # proves nothing: not made again
             self.assertEqual((await router.answer(number))[0][0], "Fault")
-            self.assertEqual((log.counts["call_cut"], len(here.database.heard)), (1, 1))
+            self.assertEqual((logs.counts["call_cut"], len(here.database.heard)), (1, 1))
         async with place(db="127.0.0.1:1") as here:
             router = await here.router()
             self.assertEqual((await router.answer(await router.ask("buy", b"x", **KEY)))[0][0], "Fault")
-            self.assertEqual(log.counts["call_unreached"], 4)
+            self.assertEqual(logs.counts["call_unreached"], 4)
 
     async def test_a_silent_call_is_given_up_and_the_op_answered_in_time(self) -> None:
         async with place(database=Database(None)) as here:
@@ -667,7 +677,7 @@
         """Noise, a line that does not end, a reply of 3 GB, half a reply, a reset: each is left at once."""
         head = b"%s ROWS "
         for spoilt in (b"\xff\x00 noise\r\n", b"x" * 300, head + b"3000000000\r\nx", head + b"9\r\nx", None):
-            with self.subTest(spoilt), mock.patch.multiple(database, HALF_SAID=0.1, LOOK=0.02):
+            with self.subTest(spoilt), mock.patch.multiple(dependency, HALF_SAID=0.1, LOOK=0.02):
                 async with place(database=Database(None)) as here:
                     router, asked = await here.router(), here.database.asked
                     numbers = [await router.ask("buy", b"x", replay=f"{at:032x}") for at in range(2)]
@@ -700,14 +710,14 @@
 
     async def test_a_connection_that_is_being_closed_gets_no_call(self) -> None:
         """A call given to one once ended the whole actor, and all calls that were out with it."""
-        inbox, events = anyio.create_memory_object_stream[mail.Event](8)
+        inbox, events = anyio.create_memory_object_stream[messages.Event](8)
         base = Database(None)
         async with anyio.create_task_group() as tasks:
             await tasks.start(base.run)
-            calls = database.Database(start.Address("127.0.0.1", base.port), inbox)
+            calls = dependency.Database(start_file.Address("127.0.0.1", base.port), inbox)
             tasks.start_soon(calls.run)
-            with mock.patch.object(database.Line, "_lost", lambda *_: anyio.sleep_forever()):
-                calls.tell(mail.Call("a", time.time() + 9, b"x"))
+            with mock.patch.object(dependency.Line, "_lost", lambda *_: anyio.sleep_forever()):
+                calls.tell(messages.Call("a", time.time() + 9, b"x"))
                 await base.until(lambda: base.asked)
                 await base.cut()
                 with anyio.fail_after(20):
@@ -715,14 +725,14 @@
                         await anyio.sleep(0)
                 await anyio.sleep(0.05)  # its mailbox is closed; it has not ended yet
                 line.out.clear()
-                calls.tell(mail.Call("b", time.time() + 9, b"x"))
+                calls.tell(messages.Call("b", time.time() + 9, b"x"))
                 await base.until(lambda: len(base.asked) == 2)
             tasks.cancel_scope.cancel()
         for mailbox in (inbox, events, calls.outbox, calls.unsent):
             mailbox.close()
 
     async def test_an_idle_database_connection_is_closed_here(self) -> None:
-        with mock.patch.multiple(database, IDLE=0.05, LOOK=0.01):
+        with mock.patch.multiple(dependency, IDLE=0.05, LOOK=0.01):
             async with place() as here:
                 router = await here.router()
                 for _ in range(2):
@@ -730,11 +740,11 @@
                     await here.database.until(lambda: not here.database.streams)
 
     async def test_reports_to_the_list(self) -> None:
-        with mock.patch("thymeyoke.net.roster.PERIOD", 0.02):
+        with mock.patch("thymeyoke.server.endpoint_registry.PERIOD", 0.02):
             async with place(roster=Roster(500)) as here:
                 await here.roster.until(lambda: len(here.roster.reports) > 2)
                 here.roster.status = 204
-                await here.roster.until(lambda: log.counts["reports"] > 2 or None)
+                await here.roster.until(lambda: logs.counts["reports"] > 2 or None)
                 await here.roster.cut()
                 router = await here.router()
                 self.assertIsNone((await router.answer(await router.ask("look")))[0])
@@ -748,9 +758,9 @@
             router, work = await here.router(), here.processor
             numbers = [await router.ask("buy", b"a", **KEY), await router.ask("look", b"b")]
             await here.database.until(lambda: len(here.database.heard) == 2)
-            given, here.start = here.start, start.BadStart("half written")
+            given, here.start = here.start, start_file.BadStart("half written")
             os.kill(os.getpid(), signal.SIGHUP)
-            await until(lambda: log.counts["start_file_bad"])
+            await until(lambda: logs.counts["start_file_bad"])
             database, roster = Database(), Roster()
             door, links = anyio.Event(), await anyio.create_tcp_listener(local_host="127.0.0.1")
 
@@ -778,7 +788,7 @@
             for number in numbers:
                 self.assertIsNone((await router.answer(number))[0])
             begins = [said["handle"] for said in work.heard if said["event"] == "begin"]
-            self.assertEqual((len(begins), len(set(begins)), log.counts["processor_links_lost"]), (3, 3, 1))
+            self.assertEqual((len(begins), len(set(begins)), logs.counts["processor_links_lost"]), (3, 3, 1))
             os.kill(os.getpid(), signal.SIGTERM)
             await router.until(lambda: router.notices)
             os.kill(os.getpid(), signal.SIGHUP)
@@ -786,7 +796,7 @@
             await here.ended.wait()
 
     async def test_an_unanswered_report_puts_off_none(self) -> None:
-        with mock.patch.multiple("thymeyoke.net.roster", PERIOD=0.2, TIMEOUT=0.19):
+        with mock.patch.multiple("thymeyoke.server.endpoint_registry", PERIOD=0.2, TIMEOUT=0.19):
             async with place(roster=Roster(0)) as here:
                 spent = Spent()
                 await here.roster.until(lambda: len(here.roster.reports) == 6, within=20.0)
@@ -829,7 +839,7 @@
             self.assertLess(spent.seconds(), 1.5)
 
     async def test_an_unused_connection_is_told_and_closed(self) -> None:
-        with mock.patch.object(front, "GRACE", 0.1):
+        with mock.patch.object(listener, "GRACE", 0.1):
             async with place(settings__family_info__idle_us=200000) as here:
                 unused, used = await here.router(), await here.router()
                 number = await used.ask("look", allow="9000")
@@ -838,19 +848,19 @@
                 await unused.until(lambda: unused.closed)
 
     async def test_a_reader_that_stalls_is_closed_alone(self) -> None:
-        inbox, events = anyio.create_memory_object_stream[mail.Event](8)
+        inbox, events = anyio.create_memory_object_stream[messages.Event](8)
 
         ours, theirs = socket.socketpair()
         ours.setblocking(False)
-        connection = front.Connection(ours, NAMES, inbox)
+        connection = listener.Connection(ours, NAMES, inbox)
         with theirs, anyio.fail_after(20):
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(connection.run)
-                connection.tell(mail.Answer(1, mail.Verdict.ACK, bytes(1 << 23)))
+                connection.tell(messages.Answer(1, messages.Verdict.ACK, bytes(1 << 23)))
                 await until(lambda: connection.rest)
-                for _ in range(front.OUTBOX + 1):
-                    connection.tell(mail.Answer(1, mail.Verdict.ACK))
-        self.assertGreater(log.counts["outbox_full"], 0)
+                for _ in range(listener.OUTBOX + 1):
+                    connection.tell(messages.Answer(1, messages.Verdict.ACK))
+        self.assertGreater(logs.counts["outbox_full"], 0)
         inbox.close()
         events.close()
 
@@ -862,7 +872,7 @@
                 invariants.holds(true, what, **pairs)
             return true
 
-        with mock.patch.object(desk, "holds", counted):
+        with mock.patch.object(dispatcher, "holds", counted):
             async with place() as here:
                 router = await here.router()
                 with mock.patch.object(Choice, "take", side_effect=RuntimeError("broken")):
@@ -872,7 +882,7 @@
                     self.assertLess(spent.seconds(), 1.0)
                 woke = mock.patch.object(Choice, "woke", side_effect=RuntimeError("broken"))
                 with woke:
-                    await until(lambda: log.counts["broken_no_desk_error"] >= 3)
+                    await until(lambda: logs.counts["broken_no_desk_error"] >= 3)
                 self.assertIsNone((await router.answer(await router.ask("look")))[0])
 
     async def test_an_id_used_again_is_answered_and_no_false_alarm(self) -> None:
@@ -891,7 +901,9 @@
 
     async def test_a_full_table_makes_room(self) -> None:
         """Silent peers go first, then who was heard longest ago; with ops open on all, the new one goes."""
-        async with place(Processor(calls=0, held=True), limits__sockets=front.SPARE_DESCRIPTORS + 2) as here:
+        async with place(
+            Processor(calls=0, held=True), limits__sockets=listener.SPARE_DESCRIPTORS + 2
+        ) as here:
             first = await here.router()
             await first.answer(await first.check())
             silent, second = await here.router(), await here.router()
@@ -930,12 +942,12 @@
         used = b'{"event":"used","figures":[1]}\n'
         lines = ask + used + ask
         for parts in pieces(lines):
-            inbox, events = anyio.create_memory_object_stream[mail.Event](8)
-            link = processor.Processor(start.Address("127.0.0.1", 1), NAMES, inbox)
+            inbox, events = anyio.create_memory_object_stream[messages.Event](8)
+            link = processor.Processor(start_file.Address("127.0.0.1", 1), NAMES, inbox)
             stream = mock.Mock(receive=mock.AsyncMock(side_effect=[*parts, anyio.EndOfStream]))
             await link._read(stream)
             heard = [events.receive_nowait() for _ in range(events.statistics().current_buffer_used)]
-            self.assertEqual(heard, [mail.Asked("a", b"\x00\xff"), mail.Gauges((1.0,))])
+            self.assertEqual(heard, [messages.Asked("a", b"\x00\xff"), messages.Gauges((1.0,))])
             for mailbox in (inbox, events, link.outbox, link.unsent):
                 mailbox.close()
 
@@ -946,7 +958,7 @@
             await here.processor.until(
                 lambda: sum(said["event"] == "hello" for said in here.processor.heard) == 2)  # fmt: skip
             self.assertIsNone((await router.answer(await router.ask("look")))[0])
-            self.assertEqual(log.counts["processor_bad_line"], 1)
+            self.assertEqual(logs.counts["processor_bad_line"], 1)
 
 
 if __name__ == "__main__":
