--- a/tests/test_orders.py
+++ b/tests/test_service_config.py
@@ -13,14 +13,14 @@
 import orjson
 
 from examples.toy import START
-from thymeyoke import orders
-from thymeyoke.announce.section import Announce, Peer
-from thymeyoke.ledger.section import Export, Ledger
-from thymeyoke.members.section import Members
-from thymeyoke.moves.section import Moves
-from thymeyoke.net import log
-from thymeyoke.node.section import Node, Service
-from thymeyoke.orders import HostPort
+from thymeyoke.bgp.configuration import Announce, Peer
+from thymeyoke.configuration import service_config
+from thymeyoke.configuration.service_config import HostPort
+from thymeyoke.ledger.configuration import Export, Ledger
+from thymeyoke.membership.configuration import Members
+from thymeyoke.migration.configuration import Moves
+from thymeyoke.proxy.configuration import Node, Service
+from thymeyoke.runtime import logs
 
 GOOD = """
 [announce]
@@ -101,7 +101,7 @@
 [moves]
 act = recommend
 """
-FLEET = ("thymeyoke.members", "thymeyoke.affinity", "thymeyoke.moves", "thymeyoke.node")
+FLEET = ("thymeyoke.membership", "thymeyoke.affinity", "thymeyoke.migration", "thymeyoke.proxy")
 SHOP, BANK = "[node.service shop]", "[node.service bank]"
 BAD_NODES = [  # likewise
     ("connections = 64", "conections = 64", "[node] conections: no such option; there are connections, "
@@ -151,11 +151,11 @@
 
 
 class Orders(unittest.TestCase):
-    def read(self, text: str | bytes) -> orders.Orders:
+    def read(self, text: str | bytes) -> service_config.Orders:
         path = written(text)
         self.addCleanup(path.unlink)
         self.path = path
-        return orders.read(path)
+        return service_config.read(path)
 
     def test_a_good_file_is_typed_values(self) -> None:
         peer = Peer("tor-1", HostPort.parse("127.0.0.1:1790"), 64500, 3)
@@ -168,7 +168,7 @@
 
     def test_the_file_that_is_shipped_is_all_off_and_good_when_on(self) -> None:
         shipped = Path(__file__).parents[1] / "deploy" / "service.ini"
-        self.assertEqual(orders.read(shipped), {})
+        self.assertEqual(service_config.read(shipped), {})
         on = "\n".join(line.removeprefix("; ") for line in shipped.read_text().splitlines())
         read = self.read(on)["announce"]
         defaults = {
@@ -202,16 +202,16 @@
             for old, new, said in rows:
                 self.assertIn(old, good)
                 with self.subTest(new=new[-60:]):
-                    with self.assertRaises(orders.BadOrders) as caught:
+                    with self.assertRaises(service_config.BadOrders) as caught:
                         self.read(good.replace(old, new, 1))
                     self.words(str(caught.exception), said)
         for garbage in (b"\xff\xfe", b"no section\n", b"[announce\n", b"[announce]\nas\n"):
             with self.subTest(garbage=garbage):
-                with self.assertRaises(orders.BadOrders) as caught:
+                with self.assertRaises(service_config.BadOrders) as caught:
                     self.read(garbage)
                 self.words(str(caught.exception))
-        with self.assertRaisesRegex(orders.BadOrders, "cannot be read: No such file"):
-            orders.read(Path("/nonexistent/service.ini"))
+        with self.assertRaisesRegex(service_config.BadOrders, "cannot be read: No such file"):
+            service_config.read(Path("/nonexistent/service.ini"))
 
     def words(self, text: str, said: str | None = None) -> None:
         self.assertTrue(text.startswith(f"{self.path}: "), text)
@@ -282,15 +282,27 @@
     def test_what_is_off_is_not_imported(self) -> None:
         """Without a file none of it; with one section none of the others."""
         cases = {
-            "thymeyoke.__main__, thymeyoke.net.server": (
-                "thymeyoke.announce", "thymeyoke.ledger", *FLEET, "thymeyoke.orders", "thymeyoke.control",
-                "sqlite3", "google", "msgspec", "configparser"),
-            "thymeyoke.ledger.keeper": ("thymeyoke.announce", *FLEET),
-            "thymeyoke.announce.announcer": ("thymeyoke.ledger", *FLEET, "sqlite3", "google"),
-            "thymeyoke.members.behind": ("thymeyoke.announce", "thymeyoke.ledger", *FLEET[1:], "sqlite3"),
-            "thymeyoke.node.process": (
-                "thymeyoke.announce", "thymeyoke.ledger", "thymeyoke.moves", "sqlite3"),
-        }  # fmt: skip
+            "thymeyoke.__main__, thymeyoke.server.lifecycle": (
+                "thymeyoke.bgp",
+                "thymeyoke.ledger",
+                *FLEET,
+                "thymeyoke.configuration.service_config",
+                "thymeyoke.runtime.status_socket",
+                "sqlite3",
+                "google",
+                "msgspec",
+                "configparser",
+            ),
+            "thymeyoke.ledger.usage_recorder": ("thymeyoke.bgp", *FLEET),
+            "thymeyoke.bgp.advertiser": ("thymeyoke.ledger", *FLEET, "sqlite3", "google"),
+            "thymeyoke.membership.extension": ("thymeyoke.bgp", "thymeyoke.ledger", *FLEET[1:], "sqlite3"),
+            "thymeyoke.proxy.process": (
+                "thymeyoke.bgp",
+                "thymeyoke.ledger",
+                "thymeyoke.migration",
+                "sqlite3",
+            ),
+        }
         for loaded, off in cases.items():
             code = f"import sys, {loaded}; print([name for name in sys.modules if name.startswith({off})])"
             done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=20)
@@ -305,9 +317,9 @@
             return form.format(record)
 
         self.assertEqual(
-            line(log.KeyValue()), "at=12.500 level=info what=up age=0.25 name=\"a 'b'\\nc\" port=7"
+            line(logs.KeyValue()), "at=12.500 level=info what=up age=0.25 name=\"a 'b'\\nc\" port=7"
         )
         self.assertEqual(
-            orjson.loads(line(log.Json())),
+            orjson.loads(line(logs.Json())),
             {"at": 12.5, "level": "info", "what": "up", "age": 0.25, "name": 'a "b"\nc', "port": 7},
         )
--- a/tests/test_leaving.py
+++ b/tests/test_shutdown.py
@@ -20,12 +20,12 @@
 import msgpack
 import orjson
 
-from examples.standins import Processor, Roster, Router
-from standins.processes import Spent
-from tests.server import place, steady, told, until
-from thymeyoke import held
-from thymeyoke.net import desk, front, mail, server
-from thymeyoke.net.log import counts
+from examples.fakes import Processor, Roster, Router
+from fakes.processes import Spent
+from tests.app_server import place, steady, told, until
+from thymeyoke.runtime import early_signals
+from thymeyoke.runtime.logs import counts
+from thymeyoke.server import dispatcher, lifecycle, listener, messages
 
 GRACE, SLACK = 0.5, 0.1  # of the toy's settings
 
@@ -118,13 +118,15 @@
     async def test_what_is_read_in_the_last_moment_is_answered(self) -> None:
         """Once the desk was gone for the last 60 ms, and who had not yet read `leaving` heard nothing."""
         # A quarter of it, from 0.15 s before the stop on; the connection is not closed sooner.
-        with mock.patch.object(desk, "FAREWELL", 8.0), mock.patch.object(front, "GRACE", 9.0):
+        with mock.patch.object(dispatcher, "FAREWELL", 8.0), mock.patch.object(listener, "GRACE", 9.0):
             async with place(Processor(calls=0)) as here:
                 router = await here.router()
                 await router.answer(await router.check())
                 began = time.time()
                 os.kill(os.getpid(), signal.SIGTERM)
-                await anyio.sleep(began + told()["stop_ms"] / 1000 - desk.STOP_MARGIN + 0.08 - time.time())
+                await anyio.sleep(
+                    began + told()["stop_ms"] / 1000 - dispatcher.STOP_MARGIN + 0.08 - time.time()
+                )
                 self.assertEqual((await router.answer(await router.ask("look")))[0][0], "Shed")
 
     async def test_a_notice_that_comes_twice_is_one(self) -> None:
@@ -150,19 +152,19 @@
 class Door(unittest.IsolatedAsyncioTestCase):
     async def test_who_waits_in_the_queue_when_the_door_shuts_is_let_in(self) -> None:
         """Once the listener was closed over them: their connections were reset, with the ops on them."""
-        desks: list[desk.Desk] = []
+        desks: list[dispatcher.Desk] = []
 
-        def keep(*given: object) -> desk.Desk:
-            desks.append(desk.Desk(*given))
+        def keep(*given: object) -> dispatcher.Desk:
+            desks.append(dispatcher.Desk(*given))
             return desks[-1]
 
-        with mock.patch.object(server, "Desk", keep):
+        with mock.patch.object(lifecycle, "Desk", keep):
             async with place(Processor(calls=0)) as here:
                 await (known := await here.router()).answer(await known.check())
                 sockets = [socket.create_connection(here.where) for _ in range(5)]
                 for at in sockets:  # not a turn of the loop until the door is shut
                     at.sendall(known.frame("look")[1])
-                desks[0].front.tell(mail.Leaving())
+                desks[0].front.tell(messages.Leaving())
                 with self.assertRaises(OSError):
                     socket.create_connection(here.where)
                 for at in sockets:
@@ -177,11 +179,11 @@
         ours, theirs = socket.socketpair()
         self.addCleanup(ours.close)
         self.addCleanup(theirs.close)
-        inbox, events = anyio.create_memory_object_stream[mail.Event](8)
+        inbox, events = anyio.create_memory_object_stream[messages.Event](8)
         self.addCleanup(inbox.close)
         self.addCleanup(events.close)
-        hall = front.Front(mock.Mock(), front.SPARE_DESCRIPTORS + 1, 30.0, inbox)
-        connection = front.Connection(ours, mock.Mock(), inbox)
+        hall = listener.Front(mock.Mock(), listener.SPARE_DESCRIPTORS + 1, 30.0, inbox)
+        connection = listener.Connection(ours, mock.Mock(), inbox)
         self.addCleanup(connection.outbox.close)
         self.addCleanup(connection.unsent.close)
         hall.connections.add(connection)
@@ -201,10 +203,10 @@
         went out: their connection was closed, with all 13 on it."""
         ours, theirs = socket.socketpair()
         self.addCleanup(theirs.close)
-        inbox, events = anyio.create_memory_object_stream[mail.Event](8)
-        hall = front.Front(mock.Mock(), front.SPARE_DESCRIPTORS + 1, 30.0, inbox)
+        inbox, events = anyio.create_memory_object_stream[messages.Event](8)
+        hall = listener.Front(mock.Mock(), listener.SPARE_DESCRIPTORS + 1, 30.0, inbox)
         ours.setblocking(False)
-        connection = front.Connection(ours, mock.Mock(), inbox)
+        connection = listener.Connection(ours, mock.Mock(), inbox)
         hall.connections.add(connection)
         with inbox, events:
             async with anyio.create_task_group() as tasks:
@@ -213,7 +215,7 @@
                 connection.open = {number: f"{number}" for number in range(13)}
                 connection.heard, connection.half_since, connection.leaving_since = True, float("inf"), 0.0
                 for number in range(13):
-                    connection.tell(mail.Answer(number, mail.Verdict.FAIL))
+                    connection.tell(messages.Answer(number, messages.Verdict.FAIL))
                 self.assertFalse(hall._make_room())
                 hall._look(connection.used)
                 self.assertFalse(connection.scope.cancel_called)
@@ -274,19 +276,19 @@
         self.assertTrue(self.server([signal.SIGHUP], None))
 
     def test_a_notice_that_waited_counts_from_the_first_moment_that_it_can_have_come(self) -> None:
-        with mock.patch.object(held, "_since", None):
-            held.hold()
-            first = held._since
+        with mock.patch.object(early_signals, "_since", None):
+            early_signals.hold()
+            first = early_signals._since
             os.kill(os.getpid(), signal.SIGHUP)
             self.assertEqual(signal.sigpending(), {signal.SIGHUP})
             ignored = signal.signal(signal.SIGHUP, signal.SIG_IGN)
-            self.assertIsNone(held.let_go())
+            self.assertIsNone(early_signals.let_go())
             signal.signal(signal.SIGHUP, ignored)
-            held.hold()
-            first = held._since
+            early_signals.hold()
+            first = early_signals._since
             notices: list[int] = []
             before = signal.signal(signal.SIGTERM, lambda number, _: notices.append(number))
             os.kill(os.getpid(), signal.SIGTERM)
-            self.assertEqual(held.let_go(), first)
+            self.assertEqual(early_signals.let_go(), first)
             signal.signal(signal.SIGTERM, before)
             self.assertEqual(notices, [signal.SIGTERM])
--- a/tests/test_simulated.py
+++ b/tests/test_simulated.py
@@ -11,11 +11,11 @@
 from unittest import mock
 
 from benchmarks.simulated import COLD, SEATS, TERMS, Broken, Size, cold, members, moves, seats, started
-from standins.simulated import Fleet, Net, World
-from standins.simulated_cold import Fixed, Process
-from standins.simulated_moves import Moving, above, evenness
-from thymeyoke.affinity.decide import Seats
-from thymeyoke.moves.consent import Consent
+from fakes.simulated_fleet import Fleet, Net, World
+from fakes.simulated_migration import Moving, above, evenness
+from fakes.simulated_slow_start import Fixed, Process
+from thymeyoke.affinity.controller import Seats
+from thymeyoke.migration.quorum import Consent
 
 SMALL = Size(seed=3, servers=12, nodes=4, tenants=30, customers=600)
 MANY = Size(seed=3, servers=120)  # for cold starts: with fewer a peak of 0.1 s tells nothing
--- a/tests/test_coldstart.py
+++ b/tests/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Cold starts: the tables of docs/coldstart.md, bounds of budget, pace and beat, hundreds in simulated time,
+"""Cold starts: the tables of docs/slow_start.md, bounds of budget, pace and beat, hundreds in simulated time,
 and what the actors make of it."""
 
 from __future__ import annotations
@@ -19,22 +19,23 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from examples.standins import Database, Processor, Roster
-from standins import coldstart as sim
+from examples.fakes import Database, Processor, Roster
+from fakes import slow_start as sim
+from tests.app_server import place, told
 from tests.conformance.tables import DASH, Row, played, rows
-from tests.server import place, told
-from thymeyoke import start
-from thymeyoke.coldstart import beat, budget, link, pace
-from thymeyoke.coldstart.beat import KEEP, SPAN, TOP
-from thymeyoke.coldstart.budget import Budget
-from thymeyoke.coldstart.decide import HELD, ColdStart, Event, State
-from thymeyoke.coldstart.link import Link, Standing
-from thymeyoke.coldstart.pace import Pace, Terms
-from thymeyoke.coldstart.waits import Failed, Waits
-from thymeyoke.net import database, log, mail, roster
-from thymeyoke.port.facts import Outcome
-
-PAGE = "docs/coldstart.md"
+from thymeyoke.admission.settings import Outcome
+from thymeyoke.configuration import start_file
+from thymeyoke.runtime import logs
+from thymeyoke.server import dependency, endpoint_registry, messages
+from thymeyoke.slow_start import connector, heartbeat, rate_limiter, retry_budget
+from thymeyoke.slow_start.backoff import Failed, Waits
+from thymeyoke.slow_start.connector import Link, Standing
+from thymeyoke.slow_start.controller import HELD, ColdStart, Event, State
+from thymeyoke.slow_start.heartbeat import KEEP, SPAN, TOP
+from thymeyoke.slow_start.rate_limiter import Pace, Terms
+from thymeyoke.slow_start.retry_budget import Budget
+
+PAGE = "docs/slow_start.md"
 TERMS = Terms(at_once=32.0, sure=4.0, tick=0.004, target=1.0, timeout=4.0)  # surely 4 calls a second
 LONG = settings(derandomize=True, deadline=None, max_examples=150)
 OK, FULL, UNREACHED = Outcome.OK, Outcome.FULL, Outcome.UNREACHED
@@ -160,7 +161,9 @@
 
     def co_3_second_by_phase(self, _: Row) -> None:
         sent = [Life(f"n{at}").reports(2, at % 2 == 0).sent for at in range(100)]
-        self.fills([second - first for first, second in sent], beat.FIRST * SPAN, (beat.FIRST + 1) * SPAN)
+        self.fills(
+            [second - first for first, second in sent], heartbeat.FIRST * SPAN, (heartbeat.FIRST + 1) * SPAN
+        )
 
     def co_4_on_the_grid(self, _: Row) -> None:
         life = Life().reports(30, late=0.05)
@@ -233,8 +236,8 @@
         for _at in range(5):
             now = life.now = life.beat.moment
             until = life.cold.sent(now)
-            self.assertEqual(until, min(now + beat.PATIENCE, life.beat.next))
-            self.assertGreaterEqual(until, now + beat.PATIENCE / 2)
+            self.assertEqual(until, min(now + heartbeat.PATIENCE, life.beat.next))
+            self.assertGreaterEqual(until, now + heartbeat.PATIENCE / 2)
 
     def co_13_out_of_turn(self, _: Row) -> None:
         life = Life().reports(3)
@@ -256,7 +259,7 @@
         life.rate = 500.0
         self.assertAlmostEqual(life.calls(4.0), 2000, delta=1)
         self.assertTrue(life.pace.open)
-        terms = pace.terms(start.start(7, told()["settings"]))
+        terms = rate_limiter.terms(start_file.start(7, told()["settings"]))
         self.assertEqual((terms.at_once, terms.sure, terms.top), (8.0, 8.0, 8.0 / 0.004))
 
     def co_15_cold(self, _: Row) -> None:
@@ -330,7 +333,7 @@
             here.ask("b")
             self.assertEqual(await here.over(1), [("a", UNREACHED)])
             self.assertGreaterEqual(time.time(), until)
-            here.calls.tell(mail.GiveUp("b"))
+            here.calls.tell(messages.GiveUp("b"))
             await here.settled(lambda: not here.calls.waits)
             self.assertEqual(here.base.heard, [])
 
@@ -372,7 +375,7 @@
         for at in range(5):
             one.taken(at)
             one.up(at)
-            self.assertEqual((one.lost(at + 0.5), purse.left), (link.FIRST, purse.size))
+            self.assertEqual((one.lost(at + 0.5), purse.left), (connector.FIRST, purse.size))
 
     def co_29_link_refused(self, _: Row) -> None:
         tops = [min(0.5, 0.02 * 2**tries) for tries in range(1, 9)]
@@ -397,7 +400,7 @@
         for closes in (False, True):
             one, now = Link(0.0, Random(1), purse := Budget(0.0)), 0.0
             fails = one.lost if closes else one.refused
-            while now < link.PATIENCE:
+            while now < connector.PATIENCE:
                 self.assertEqual(one.standing(now), Standing.COMING)
                 one.taken(now) if closes else None
                 now += fails(now)
@@ -436,26 +439,26 @@
             here.ask("a")
             await here.base.until(lambda: here.base.heard)
             here.ask("b")
-            here.calls.tell(mail.Move(None))  # type: ignore[arg-type]
+            here.calls.tell(messages.Move(None))  # type: ignore[arg-type]
             self.assertEqual(await here.over(1), [("b", UNREACHED)])
-            here.calls.tell(mail.Move(here.where))
+            here.calls.tell(messages.Move(here.where))
             here.shut()
             here.calls.next_look = time.time() + 60.0  # it is not before this that it would look by itself
             here.calls.cold.failed.note(time.time(), "e")
             here.ask("cde")
             await here.settled(lambda: len(here.calls.waits) == 3)
-            here.calls.tell(mail.Move(None))  # type: ignore[arg-type]
+            here.calls.tell(messages.Move(None))  # type: ignore[arg-type]
             self.assertEqual(sorted(await here.over(3)), [(id, UNREACHED) for id in "cde"])
-            self.assertFalse(here.calls.tell(mail.Call("f", time.time() + 9, b"x")))
-            self.assertTrue(here.calls.tell(mail.GiveUp("a")))  # it is still out, where it was
+            self.assertFalse(here.calls.tell(messages.Call("f", time.time() + 9, b"x")))
+            self.assertTrue(here.calls.tell(messages.GiveUp("a")))  # it is still out, where it was
             await here.settled(lambda: not here.calls.calls)
             self.assertEqual(here.events.statistics().current_buffer_used, 0)
 
     @on_loop
     async def co_36_clock_stands_still(self, _: Row) -> None:
         async with calling(shut=True) as here:
-            still = database.clock()
-            with mock.patch.object(database, "clock", lambda: still):
+            still = dependency.clock()
+            with mock.patch.object(dependency, "clock", lambda: still):
                 here.calls.pace.rate, here.calls.pace.tokens = 40.0, -1.0
                 here.ask("abc")
                 self.assertEqual(await here.over(3), [(id, OK) for id in "abc"])
@@ -473,9 +476,11 @@
             purse.won() if works else None
             had, due, went = purse.has(now), purse.when(now) <= now, purse.take(now)
             self.assertEqual((had, due), (went, went))
-            self.assertTrue(went or now < last + budget.PROBE)
+            self.assertTrue(went or now < last + retry_budget.PROBE)
             took, last = took + went, now if went else last
-            self.assertLessEqual(took, purse.size + budget.FILL * won + now / budget.PROBE + 1 + 1e-6)
+            self.assertLessEqual(
+                took, purse.size + retry_budget.FILL * won + now / retry_budget.PROBE + 1 + 1e-6
+            )
             self.assertTrue(0 <= purse.left <= purse.size)
 
     @LONG
@@ -497,7 +502,9 @@
             one.look(now)
             if not one.open:
                 self.assertTrue(one.floor <= one.rate <= one.cap)
-                self.assertLessEqual(booked, allowed / (1 - pace.JITTER))  # each costs half a token at least
+                self.assertLessEqual(
+                    booked, allowed / (1 - rate_limiter.JITTER)
+                )  # each costs half a token at least
                 self.assertLessEqual(one.when(now), now + 2 / one.floor)
 
     @LONG
@@ -511,7 +518,7 @@
             answered = answered or failed  # one in a row
             if not life.to_beat(late):
                 continue
-            given_up = min(life.now + beat.PATIENCE, life.beat.next)
+            given_up = min(life.now + heartbeat.PATIENCE, life.beat.next)
             life.now = given_up if silent and not answered else life.now + took
             if life.beat.heard > 0:
                 self.assertLess(life.now, life.beat.heard + KEEP)
@@ -564,9 +571,9 @@
     def test_without_phases_it_fails(self) -> None:
         """The proof can fail: one phase for all, no beat that is left out, no call that is cut."""
         for place_, name, value, play, loads in (
-            (beat.Random, "random", lambda self: 0.5, sim.let_go_at_once, "reports"),
-            (beat, "LATE", inf, sim.let_go_at_once, "reports"),
-            (pace, "SHARE", inf, sim.both_back, "calls"),
+            (heartbeat.Random, "random", lambda self: 0.5, sim.let_go_at_once, "reports"),
+            (heartbeat, "LATE", inf, sim.let_go_at_once, "reports"),
+            (rate_limiter, "SHARE", inf, sim.both_back, "calls"),
         ):
             with mock.patch.object(place_, name, value):
                 self.assertGreater(getattr(sim.play(play), loads), 2.0)
@@ -576,9 +583,9 @@
     """The database's actor alone, and what it tells the desk."""
 
     def __init__(self, base: Database) -> None:
-        self.base, self.where = base, start.Address("127.0.0.1", base.port)
+        self.base, self.where = base, start_file.Address("127.0.0.1", base.port)
         self.inbox, self.events = anyio.create_memory_object_stream[Any](64)
-        self.calls = database.Database(self.where, self.inbox, ColdStart(time.time(), 7, "n", TERMS))
+        self.calls = dependency.Database(self.where, self.inbox, ColdStart(time.time(), 7, "n", TERMS))
 
     def shut(self) -> None:
         """Nothing has leave for a while."""
@@ -589,7 +596,7 @@
     def ask(self, ids: Iterable[str], within: float = 9.0) -> float:
         until = time.time() + within
         for id in ids:
-            self.calls.tell(mail.Call(id, until, b"x"))
+            self.calls.tell(messages.Call(id, until, b"x"))
         return until
 
     async def over(self, many: int) -> list[tuple[str, Outcome]]:
@@ -617,7 +624,7 @@
 
 class Actors(unittest.IsolatedAsyncioTestCase):
     def setUp(self) -> None:
-        log.counts.clear()
+        logs.counts.clear()
 
     async def test_calls_wait_for_leave_and_go_out_oldest_first(self) -> None:
         """For one more there is no room, which is told at once."""
@@ -625,20 +632,20 @@
             here.calls.waits.most = 3
             here.ask("abcd")
             self.assertEqual(await here.over(1), [("d", UNREACHED)])
-            counts = [log.counts[name] for name in ("calls_waited", "calls_turned_away")]
+            counts = [logs.counts[name] for name in ("calls_waited", "calls_turned_away")]
             self.assertEqual((here.base.heard, counts), ([], [3, 1]))
             here.calls.pace.tokens = 3.0
-            here.calls.tell(mail.GiveUp("none"))  # it looks in again
+            here.calls.tell(messages.GiveUp("none"))  # it looks in again
             self.assertEqual(await here.over(1), [("a", OK)])
             here.calls.pace.rate = TERMS.top
-            here.calls.tell(mail.GiveUp("none"))
+            here.calls.tell(messages.GiveUp("none"))
             self.assertEqual([outcome for _, outcome in await here.over(2)], [OK] * 2)
             self.assertEqual(here.base.heard, ["Q a", "Q b", "Q c"])
 
     async def test_given_up_on_a_connection_that_is_just_ending(self) -> None:
-        line = database.Line(start.Address("127.0.0.1", 1), mock.AsyncMock())
+        line = dependency.Line(start_file.Address("127.0.0.1", 1), mock.AsyncMock())
         for id in "ab":
-            self.assertTrue(line.call(mail.Call(id, time.time() + 9, b"x"), time.time()))
+            self.assertTrue(line.call(messages.Call(id, time.time() + 9, b"x"), time.time()))
         line.outbox.close()
         line.unsent.close()
         self.assertIsNotNone(line.give_up("a"))
@@ -657,7 +664,7 @@
     async def test_a_database_that_is_back_is_not_overrun(self) -> None:
         """Twenty calls wait when it comes back; once all of them went out at once."""
         async with calling() as here:
-            here.calls.where = start.Address("127.0.0.1", 1)
+            here.calls.where = start_file.Address("127.0.0.1", 1)
             here.ask(map(str, range(20)), 30)
             await here.settled(lambda: not here.calls.pace.open)
             here.calls.where = here.where
@@ -675,14 +682,16 @@
             began = time.time()
             await here.roster.until(lambda: here.roster.reports)
             await (router := await here.router()).answer(await router.ask("look"))
-            self.assertLessEqual(len(here.roster.reports), 1 + (time.time() - began) / (beat.FIRST * SPAN))
-            with mock.patch.multiple(roster, PERIOD=60.0, TIMEOUT=60.0):
-                alone = roster.Roster(start.Address("127.0.0.1", here.roster.port), "other")
+            self.assertLessEqual(
+                len(here.roster.reports), 1 + (time.time() - began) / (heartbeat.FIRST * SPAN)
+            )
+            with mock.patch.multiple(endpoint_registry, PERIOD=60.0, TIMEOUT=60.0):
+                alone = endpoint_registry.Roster(start_file.Address("127.0.0.1", here.roster.port), "other")
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(alone.run)
                 await here.roster.until(lambda: ("/ns/hosts/other", "yes") in here.roster.reports)
                 for fit in (True, False, False):
-                    alone.tell(mail.Report(fit))
+                    alone.tell(messages.Report(fit))
                 await here.roster.until(lambda: ("/ns/hosts/other", "no") in here.roster.reports)
                 said = [fit for path, fit in here.roster.reports if path.endswith("other")]
                 self.assertEqual(said, ["yes", "no"])
@@ -695,11 +704,11 @@
         tried again, and up soon after it is there."""
         slow = Processor()
         slow.up = anyio.Event()
-        with mock.patch.multiple(roster, PERIOD=0.05, TIMEOUT=0.05):
+        with mock.patch.multiple(endpoint_registry, PERIOD=0.05, TIMEOUT=0.05):
             async with place(slow, roster=Roster(503)) as here:
-                await here.roster.until(lambda: log.counts["reports_failed"] > 5 or None)
+                await here.roster.until(lambda: logs.counts["reports_failed"] > 5 or None)
                 here.roster.status = 204
-                await here.roster.until(lambda: log.counts["reports"] > 2 or None)
+                await here.roster.until(lambda: logs.counts["reports"] > 2 or None)
                 await slow.until(lambda: slow.heard)
                 self.assertEqual([said["event"] for said in slow.heard], ["hello"])
                 slow.up.set()
--- a/tests/test_settings.py
+++ b/tests/test_start_file.py
@@ -19,11 +19,11 @@
 import orjson
 from click.testing import CliRunner
 
-from examples.standins import Processor, Roster
-from tests.server import Server, actions, facts, place, told, until
-from thymeyoke import start
+from examples.fakes import Processor, Roster
+from tests.app_server import Server, actions, place, settings, told, until
 from thymeyoke.__main__ import main
-from thymeyoke.net.log import counts
+from thymeyoke.configuration import start_file
+from thymeyoke.runtime.logs import counts
 
 ABSENT = object()
 
@@ -76,20 +76,25 @@
             ("settings.contract.cold_share", ABSENT, lambda given: given["survival"].cold_share, 0.0),
             ("settings.request_classes.1.memory_span_us", ABSENT, lambda given: given["op_types"][1][7], 3.0),
             ("settings.request_classes.0.memory_span_us", None, lambda given: given["op_types"][0][7], 0.0),
-            ("settings.family_info.fair_calls", 0, lambda given: given["dependency"].kind, facts.Below.TIER),
+            (
+                "settings.family_info.fair_calls",
+                0,
+                lambda given: given["dependency"].kind,
+                settings.Below.TIER,
+            ),
             ("settings.new_key", {"a": 1}, lambda given: given["seed"], 7),
         ]
         for field, value, read, expected in cases:
             with self.subTest(field):
-                self.assertEqual(read(start.start(7, changed(field, value)["settings"])), expected)
+                self.assertEqual(read(start_file.start(7, changed(field, value)["settings"])), expected)
         for field in ("limits", "limits.sockets"):
             limit = mock.Mock(return_value=(300, 400))
             with self.subTest(field), mock.patch("resource.getrlimit", limit):
-                self.assertEqual(start.station(changed(field, None)).descriptors, 300)
-        memory = [start.station(changed("limits.memory_mb", told)).memory for told in (64, None)]
+                self.assertEqual(start_file.station(changed(field, None)).descriptors, 300)
+        memory = [start_file.station(changed("limits.memory_mb", told)).memory for told in (64, None)]
         self.assertEqual(memory, [64 << 20, math.inf])
         none_below = changed("settings.family_info.below", "silent") | {"db": None}
-        self.assertIsNone(start.station(none_below).database)
+        self.assertIsNone(start_file.station(none_below).database)
 
     def test_without_tick_and_slack_the_beat_does_not_spin(self) -> None:
         """Once the first beat divided by zero, and each was due at the moment of the one before."""
@@ -103,10 +108,10 @@
         """Once every error but `BadStart` ended the server, and a port out of range reached its actors."""
         async with place(Processor(calls=0)) as here:
             router, given = await here.router(), here.start
-            bad = start.BadStart("half written")
+            bad = start_file.BadStart("half written")
             for new in (bad, given | {"processor": "127.0.0.1:65536"}, given | {"db": ""}, OverflowError()):
-                before, read = counts["start_file_bad"], start.station
-                with mock.patch.object(start, "station", side_effect=OverflowError) as broken:
+                before, read = counts["start_file_bad"], start_file.station
+                with mock.patch.object(start_file, "station", side_effect=OverflowError) as broken:
                     here.start = new
                     if not isinstance(new, OverflowError):
                         broken.side_effect = read
--- a/thymeyoke/__main__.py
+++ b/thymeyoke/__main__.py
@@ -4,10 +4,10 @@
 
 import sys
 
-from thymeyoke import held
+from thymeyoke.runtime import early_signals
 
 if __name__ == "__main__" and sys.argv[1:2] in (["serve"], ["node"]):
-    held.hold()  # before all that takes time
+    early_signals.hold()  # before all that takes time
 
 from importlib import import_module
 from pathlib import Path
@@ -16,9 +16,9 @@
 import click
 from click.core import ParameterSource
 
-from thymeyoke import start
+from thymeyoke.configuration import start_file
 
-start_file = click.option(
+config_option = click.option(
     "--config", envvar="ROUTER_CONFIG", required=True, type=click.Path(path_type=Path),
     help="The start file; else the one that ROUTER_CONFIG names.")  # fmt: skip
 orders_file = click.option(
@@ -39,10 +39,10 @@
     """The commands of subsystems, imported when they are asked for."""
 
     elsewhere = {  # noqa: RUF012
-        "announce": ("thymeyoke.announce.commands", "group"),
+        "announce": ("thymeyoke.bgp.commands", "group"),
         "ledger": ("thymeyoke.ledger.commands", "group"),
-        "moves": ("thymeyoke.node.commands", "moves"),
-        "node": ("thymeyoke.node.commands", "node"),
+        "moves": ("thymeyoke.proxy.commands", "moves"),
+        "node": ("thymeyoke.proxy.commands", "node"),
     }
 
     def list_commands(self, ctx: click.Context) -> list[str]:
@@ -61,7 +61,7 @@
 
 
 @main.command()
-@start_file
+@config_option
 @orders_file
 @click.option("--log-level", default="info", type=click.Choice(["debug", "info", "warning", "error"]))
 @click.option("--log-form", default="text", type=click.Choice(["text", "json"]), help="key=value, or JSON.")
@@ -73,14 +73,15 @@
     """
     import anyio
 
-    from thymeyoke.net import log, server
+    from thymeyoke.runtime import logs
+    from thymeyoke.server import lifecycle
 
     told = _read(config)
     _read_orders(orders)
-    log.set_up(log_level, log_form)
+    logs.set_up(log_level, log_form)
     try:
-        anyio.run(server.serve, *told, lambda: start.read(config)[0], lambda: _orders(orders))
-    except start.BadStart as error:  # found while starting: the address can't be listened on
+        anyio.run(lifecycle.serve, *told, lambda: start_file.read(config)[0], lambda: _orders(orders))
+    except start_file.BadStart as error:  # found while starting: the address can't be listened on
         raise click.ClickException(str(error)) from None
 
 
@@ -126,40 +127,40 @@
     click.echo(VERSION)
 
 
-def _read(config: Path) -> tuple[start.Station, start.Names, dict[str, Any]]:
+def _read(config: Path) -> tuple[start_file.Station, start_file.Names, dict[str, Any]]:
     try:
-        return start.read(config)
-    except start.BadStart as error:
+        return start_file.read(config)
+    except start_file.BadStart as error:
         raise click.ClickException(str(error)) from None
 
 
 def _orders(path: Path | None) -> dict[str, Any]:
     if path is None:
         return {}
-    from thymeyoke import orders
+    from thymeyoke.configuration import service_config
 
-    return orders.read(path)
+    return service_config.read(path)
 
 
 def _read_alone(path: Path, started: bool) -> dict[str, Any]:
     """The operators' file of a node; or of an app server, `started` where its start file is at hand. Without
     one what is wrong is said as `thymeyoke node` says it: exit 1."""
-    from thymeyoke.net import behind
-    from thymeyoke.orders import BadOrders
+    from thymeyoke.configuration.service_config import BadOrders
+    from thymeyoke.runtime import extensions
 
     bad = BadUse if started else click.ClickException
     try:
         asked = _orders(path)
         if "node" in asked:
-            from thymeyoke.node import process
+            from thymeyoke.proxy import process
 
             process.probe(asked)
         else:
-            behind.probe(asked)
+            extensions.probe(asked)
         return asked
     except BadOrders as error:
         raise bad(str(error)) from None
-    except behind.Refused as error:
+    except extensions.Refused as error:
         raise bad(f"{path}: {error}") from None
 
 
@@ -167,16 +168,16 @@
     """The operators' file, found good for this machine as well."""
     if path is None:
         return {}
-    from thymeyoke.net import behind
-    from thymeyoke.orders import BadOrders
+    from thymeyoke.configuration.service_config import BadOrders
+    from thymeyoke.runtime import extensions
 
     try:
         asked = _orders(path)
-        behind.probe(asked)
+        extensions.probe(asked)
         return asked
     except BadOrders as error:
         raise BadUse(str(error)) from None
-    except behind.Refused as error:
+    except extensions.Refused as error:
         raise BadUse(f"{path}: {error}") from None
 
 
--- a/thymeyoke/port/__init__.py
+++ b/thymeyoke/admission/__init__.py
@@ -4,6 +4,6 @@
 Times are seconds, spans and moments alike; sizes are kilobytes; ids are whatever the protocol uses.
 """
 
-from thymeyoke.port import actions, facts
+from thymeyoke.admission import actions, settings
 
-__all__ = ["actions", "facts"]
+__all__ = ["actions", "settings"]
--- a/thymeyoke/choice.py
+++ b/thymeyoke/admission/controller.py
@@ -2,7 +2,7 @@
 
 How it is called: one `Choice` a server life. Every event is handed in by its method (`take`, `ended`,
 `blocked`, `called`, `gone`, `woke`, `leave`); when a batch of them is in, `settle(now)` returns the
-actions. The types on both sides are in `thymeyoke/port/`; docs/design.md tells where this comes from.
+actions. The types on both sides are in `thymeyoke/admission/`; docs/design.md tells where this comes from.
 
 Events only move the wanted state (`Job.want` and what should be said and timed). `settle` picks what
 should run or call, and `_difference` alone turns wanted against present into actions.
@@ -16,9 +16,9 @@
 from random import Random
 from typing import Any
 
-from thymeyoke.port import actions as act
-from thymeyoke.port import facts
-from thymeyoke.port.facts import Below, Outcome, Repeat, Signal
+from thymeyoke.admission import actions as act
+from thymeyoke.admission import settings
+from thymeyoke.admission.settings import Below, Outcome, Repeat, Signal
 
 SHARE = 1 / 4  # of the run limit: what one key may run while others' ops are held
 MEMORY_FILL = 0.95  # of the memory: the rest is for what is already on its way
@@ -51,7 +51,7 @@
 class Job:
     """An op in hand, from its arrival until it is answered and off the cores."""
 
-    def __init__(self, now: float, op: facts.Op, kind: facts.OpType, key: int, *expect: float) -> None:
+    def __init__(self, now: float, op: settings.Op, kind: settings.OpType, key: int, *expect: float) -> None:
         self.op, self.id, self.size, self.key = op, op.id, op.size, key
         self.kind, self.line = kind, (key, kind.importance)
         self.gain = kind.importance * (1 - kind.poorer_share)  # what a call of it is worth
@@ -83,7 +83,7 @@
         if mean := self.runs[kind]:
             self.runs[kind] = [(1 - NEWEST / 2) * time for time in mean[:3]] + mean[3:]
 
-    def expect(self, op: facts.Op) -> list[float]:
+    def expect(self, op: settings.Op) -> list[float]:
         """Expected time on a core and off it, its mean error, calls that it makes; zeros without history."""
         mean = self.runs[op.type]
         if mean is None:
@@ -95,7 +95,7 @@
 class RunLimit:
     """How many ops should be on the cores at once."""
 
-    def __init__(self, cores: int, now: float, survival: facts.Survival) -> None:
+    def __init__(self, cores: int, now: float, survival: settings.Survival) -> None:
         self.cores, self.limit, self.survival = cores, float(cores), survival
         self.born = self.changed = now
 
@@ -158,7 +158,7 @@
 class Calls:
     """Calls to what lies below: how many may be out, and how slow they are."""
 
-    def __init__(self, dependency: facts.Dependency, now: float) -> None:
+    def __init__(self, dependency: settings.Dependency, now: float) -> None:
         self.bound = dependency.fair_calls * CALL_FILL if dependency.kind is Below.SHARED else float("inf")
         self.window = self.bound  # how many to have out; narrowed while they are slow
         self.linger_span, self.fair_span = dependency.linger, dependency.fair_span
@@ -242,9 +242,18 @@
 class Choice:
     """One server's life: the parts above, joined."""
 
-    def __init__(self, now: float, seed: int, op_types: tuple[facts.OpType, ...], machine: facts.Machine,
-                 survival: facts.Survival, duty: facts.Duty, dependency: facts.Dependency,
-                 callers: facts.Callers, tenants: tuple[facts.Tenant, ...]) -> None:  # fmt: skip
+    def __init__(
+        self,
+        now: float,
+        seed: int,
+        op_types: tuple[settings.OpType, ...],
+        machine: settings.Machine,
+        survival: settings.Survival,
+        duty: settings.Duty,
+        dependency: settings.Dependency,
+        callers: settings.Callers,
+        tenants: tuple[settings.Tenant, ...],
+    ) -> None:
         self.random = Random(seed)
         self.kinds, self.machine, self.duty, self.callers = op_types, machine, duty, callers
         self.by_tenant = bool(tenants)
@@ -266,7 +275,7 @@
         self.out: list[act.Action] = [act.Health(True, True), act.Wake(0, self.beat)]
         self.told: list[act.Action] = [act.Trim(callers.idle)]
 
-    def take(self, now: float, op: facts.Op) -> None:
+    def take(self, now: float, op: settings.Op) -> None:
         kind = self.kinds[op.type]
         job = Job(now, op, kind, op.tenant if self.by_tenant else op.caller, *self.pace.expect(op))
         if kind.repeat is Repeat.KEYED:
@@ -322,11 +331,11 @@
         self._move(now, job, At.ON_CORE if outcome is Outcome.OK else At.AT_CALL)
         if outcome is Outcome.TIMEOUT:
             self.calls.lingering.append(now + self.calls.linger_span)
-        if outcome not in facts.NEVER_RAN:
+        if outcome not in settings.NEVER_RAN:
             self.calls.learn(now, took)
         if outcome is Outcome.OK:
             return
-        if (job.kind.repeat is Repeat.RETRYABLE or outcome in facts.NEVER_RAN) and job.tries < CALL_TRIES:
+        if (job.kind.repeat is Repeat.RETRYABLE or outcome in settings.NEVER_RAN) and job.tries < CALL_TRIES:
             wait = BACKOFF * job.kind.target * 2 ** (job.tries - 1)
             job.not_before = now + wait * self.random.uniform(0.5, 1)
             self.calls.waiting.append(job)
@@ -526,7 +535,7 @@
 
     def _stops(self, job: Job) -> bool:
         """Whether its run can be stopped for nobody; one with an effect runs on: its end answers repeats."""
-        runs = job.at is At.ON_CORE and self.machine.halt is not facts.Halt.NOTHING
+        runs = job.at is At.ON_CORE and self.machine.halt is not settings.Halt.NOTHING
         return runs and job.kind.repeat is Repeat.RETRYABLE
 
     def _answered(self, now: float, job: Job) -> None:
--- a/thymeyoke/affinity/merge.py
+++ b/thymeyoke/affinity/bindings.py
@@ -14,7 +14,7 @@
 from collections.abc import Iterable, Mapping
 from typing import NamedTuple
 
-from thymeyoke.members.view import NAME_MOST
+from thymeyoke.membership.view import NAME_MOST
 
 CUSTOMER_TOP = (1 << 64) - 1
 STAMP_TOP = 1 << 62
--- a/thymeyoke/affinity/decide.py
+++ b/thymeyoke/affinity/controller.py
@@ -18,12 +18,12 @@
 from math import inf
 from typing import Any, NamedTuple
 
-from thymeyoke.affinity.hashing import Places
-from thymeyoke.affinity.merge import AHEAD, STAMP_TOP, Entry, Told, fault, join
-from thymeyoke.affinity.share import Log, Peer
-from thymeyoke.affinity.stages import LIVE, Fact, Server, Stage, fact, span, step
-from thymeyoke.affinity.words import PER_ITEM, PER_MARK, PER_SERVER, ROOM, Ack, Ask, Marks, Message, Piece
-from thymeyoke.members.view import Member, State, Trust, View
+from thymeyoke.affinity.bindings import AHEAD, STAMP_TOP, Entry, Told, fault, join
+from thymeyoke.affinity.messages import PER_ITEM, PER_MARK, PER_SERVER, ROOM, Ack, Ask, Marks, Message, Piece
+from thymeyoke.affinity.rendezvous import Places
+from thymeyoke.affinity.replication import Log, Peer
+from thymeyoke.affinity.server_state import LIVE, Fact, Server, Stage, fact, span, step
+from thymeyoke.membership.view import Member, State, Trust, View
 
 MARGIN = 1 / 8  # of the linger, where no margin is told
 MARGIN_LEAST = 1.0  # seconds: about the age of a snapshot, however short the linger
--- a/thymeyoke/affinity/words.py
+++ b/thymeyoke/affinity/messages.py
@@ -10,7 +10,7 @@
 
 from typing import NamedTuple
 
-from thymeyoke.affinity.merge import Told
+from thymeyoke.affinity.bindings import Told
 
 ROOM = 7000  # octets of a piece: a word has 8 KiB
 PER_ITEM = 32  # octets, at most, of an exception without its server's name
--- a/thymeyoke/affinity/share.py
+++ b/thymeyoke/affinity/replication.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterator
 from math import inf
 
-from thymeyoke.affinity.words import Marks
+from thymeyoke.affinity.messages import Marks
 
 SLACK = 64  # places of the log that may be stale beside as many as are true
 
--- a/thymeyoke/affinity/stages.py
+++ b/thymeyoke/affinity/server_state.py
@@ -6,8 +6,8 @@
 from enum import Enum, IntEnum
 from math import inf
 
-from thymeyoke.affinity.hashing import marked
-from thymeyoke.members.view import Member, State, Trust
+from thymeyoke.affinity.rendezvous import marked
+from thymeyoke.membership.view import Member, State, Trust
 
 
 class Stage(IntEnum):
--- a/thymeyoke/affinity/wire.py
+++ b/thymeyoke/affinity/wire.py
@@ -12,8 +12,8 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from thymeyoke.affinity.merge import Told
-from thymeyoke.affinity.words import PER_MARK, Ack, Ask, Marks, Message, Piece
+from thymeyoke.affinity.bindings import Told
+from thymeyoke.affinity.messages import PER_MARK, Ack, Ask, Marks, Message, Piece
 
 VERSION = 1
 WORD_LIMIT = 8192
--- a/thymeyoke/announce/__init__.py
+++ b/thymeyoke/bgp/__init__.py
@@ -1,1 +1,1 @@
-"""Service addresses over BGP: announced while this instance can serve; docs/announce.md has the whole."""
+"""Service addresses over BGP: announced while this instance can serve; docs/bgp.md has the whole."""
--- a/thymeyoke/announce/announcer.py
+++ b/thymeyoke/bgp/advertiser.py
@@ -18,19 +18,19 @@
 from anyio.abc import SocketAttribute, SocketStream, TaskGroup
 from anyio.streams.memory import MemoryObjectSendStream
 
-from thymeyoke import control
-from thymeyoke.announce import tcp
-from thymeyoke.announce.decide import Decider, Level, Look, Terms, Why
-from thymeyoke.announce.section import Announce, Prefix
-from thymeyoke.announce.session import State
-from thymeyoke.announce.shown import Shown
-from thymeyoke.announce.speaker import Speaker
-from thymeyoke.announce.wire import Code, Notification
-from thymeyoke.net import log
-from thymeyoke.net.behind import Around
-from thymeyoke.net.clock import clock
-from thymeyoke.net.mail import Draining, Event, Probe, Reformed, Standing, waiting
-from thymeyoke.orders import Ip
+from thymeyoke.bgp import tcp
+from thymeyoke.bgp.configuration import Announce, Prefix
+from thymeyoke.bgp.controller import Decider, Level, Look, Terms, Why
+from thymeyoke.bgp.peer_connection import Speaker
+from thymeyoke.bgp.presentation import Shown
+from thymeyoke.bgp.session import State
+from thymeyoke.bgp.wire import Code, Notification
+from thymeyoke.configuration.service_config import Ip
+from thymeyoke.runtime import logs, status_socket
+from thymeyoke.runtime.clock import clock
+from thymeyoke.runtime.extensions import Around
+from thymeyoke.runtime.mailbox import take_all
+from thymeyoke.server.messages import Draining, Event, Probe, Reformed, Standing
 
 LOOK = 0.25  # seconds between looks at the server
 LETTERS = 32
@@ -72,7 +72,7 @@
         try:
             self.outbox.send_nowait(what)
         except anyio.WouldBlock:
-            log.counts["announce_letters_full"] += 1
+            logs.counts["announce_letters_full"] += 1
         except (anyio.BrokenResourceError, anyio.ClosedResourceError):
             pass
 
@@ -89,10 +89,12 @@
         return all(level == Level.FULL for level in found)
 
     async def run(self) -> None:
-        control_at = control.path(self.told.control, self.name)
+        control_at = status_socket.path(self.told.control, self.name)
         try:
             async with anyio.create_task_group() as self.tasks:
-                self.tasks.start_soon(control.serve, control_at, self.name, lambda: self.status(clock()))
+                self.tasks.start_soon(
+                    status_socket.serve, control_at, self.name, lambda: self.status(clock())
+                )
                 self._meet()
                 await self._go()
                 for speaker in self.speakers.values():
@@ -120,11 +122,11 @@
         while not self.over:
             now = clock()
             moment = min(look_at, self.decider.next(now))
-            got: list[Letter] = waiting(self.letters)
+            got: list[Letter] = take_all(self.letters)
             if not got and not self.poked.is_set():
                 with anyio.move_on_after(max(0.0, moment - now)):
                     await self._something(got)
-            got += waiting(self.letters)
+            got += take_all(self.letters)
             self.poked = anyio.Event()
             now = clock()
             for letter in got:
@@ -147,7 +149,7 @@
 
     def _ask(self, now: float) -> None:
         if not self.standing and self.decider.last:
-            log.counts["announce_late_looks"] += 1
+            logs.counts["announce_late_looks"] += 1
             self.decider.look(now, self.decider.last._replace(late=True))
         self.standing = False
         with suppress(anyio.WouldBlock, anyio.BrokenResourceError, anyio.ClosedResourceError):
@@ -171,8 +173,8 @@
             return
         for prefix in moved:
             one = self.decider.addresses[prefix]
-            log.counts["announce_changes"] += 1
-            log.say(logging.INFO, "announced", address=prefix, as_=one.level.name.lower(), why=one.why)
+            logs.counts["announce_changes"] += 1
+            logs.say(logging.INFO, "announced", address=prefix, as_=one.level.name.lower(), why=one.why)
             self.history.append((now, str(prefix), one.level.name.lower(), one.why))
         del self.history[:-16]
         self._tell(now, any(self.decider.addresses[prefix].level == Level.WITHDRAWN for prefix in moved))
@@ -232,8 +234,8 @@
         try:
             await speaker.run()
         except Exception as error:
-            log.counts["announce_error"] += 1
-            log.say(logging.ERROR, "bgp speaker ends", error, peer=speaker.peer.name)
+            logs.counts["announce_error"] += 1
+            logs.say(logging.ERROR, "bgp speaker ends", error, peer=speaker.peer.name)
         finally:
             speaker.done = True
 
@@ -243,19 +245,19 @@
             try:
                 sock = tcp.listen(self.told.listen, self.told.peers)
             except OSError as error:
-                log.counts["announce_error"] += 1
-                return log.say(logging.ERROR, "bgp listener refused", error, address=self.told.listen)
+                logs.counts["announce_error"] += 1
+                return logs.say(logging.ERROR, "bgp listener refused", error, address=self.told.listen)
             listener = await anyio.abc.SocketListener.from_socket(sock)
             async with listener:
                 while True:
                     try:
                         stream = await listener.accept()
                     except OSError:
-                        log.counts["announce_accept_failed"] += 1
+                        logs.counts["announce_accept_failed"] += 1
                         await anyio.sleep(LOOK)
                         continue
                     if not self._accepted(stream):
-                        log.counts["announce_strangers"] += 1
+                        logs.counts["announce_strangers"] += 1
                         await anyio.aclose_forcefully(stream)
 
     def _accepted(self, stream: SocketStream) -> bool:
--- a/thymeyoke/announce/attributes.py
+++ b/thymeyoke/bgp/attributes.py
@@ -11,7 +11,7 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-from thymeyoke.announce.wire import (
+from thymeyoke.bgp.wire import (
     AS_TRANS,
     IPV4,
     Agreed,
--- a/thymeyoke/announce/commands.py
+++ b/thymeyoke/bgp/commands.py
@@ -10,12 +10,12 @@
 import click
 import orjson
 
-from thymeyoke import control
+from thymeyoke.runtime import status_socket
 
 
 def _found(control_at: Path | None, orders: Path | None) -> dict[str, Any]:
     if control_at is None and orders is not None:
-        from thymeyoke.orders import BadOrders, read
+        from thymeyoke.configuration.service_config import BadOrders, read
 
         try:
             section = read(orders).get("announce")
@@ -23,8 +23,8 @@
             raise click.UsageError(str(error)) from None
         control_at = section and section.control and Path(section.control)
     try:
-        return control.ask(control_at or control.path(None, "announce"), "server with [announce]")
-    except control.Unanswered as error:
+        return status_socket.ask(control_at or status_socket.path(None, "announce"), "server with [announce]")
+    except status_socket.Unanswered as error:
         raise click.ClickException(str(error)) from None
 
 
--- a/thymeyoke/announce/section.py
+++ b/thymeyoke/bgp/configuration.py
@@ -8,7 +8,7 @@
 
 from msgspec import Meta, Struct
 
-from thymeyoke.orders import PORT, HostPort, Ip, Raw
+from thymeyoke.configuration.service_config import PORT, HostPort, Ip, Raw
 
 Prefix = IPv4Network | IPv6Network
 LESS = ("graceful_shutdown", "med", "prepend")
--- a/thymeyoke/announce/decide.py
+++ b/thymeyoke/bgp/controller.py
@@ -1,7 +1,7 @@
 """What is announced, and how: facts of this instance and of others' paths in, a wanted level for each
 address out.
 
-Pure. docs/announce.md has the rules as a table, and why no crowd leaves an address without a path.
+Pure. docs/bgp.md has the rules as a table, and why no crowd leaves an address without a path.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-from thymeyoke.announce.section import Prefix
+from thymeyoke.bgp.configuration import Prefix
 
 BUSY = (
     0.9  # of the cores: below, nacks come from elsewhere than the cores, and would follow the ops elsewhere
@@ -53,7 +53,7 @@
 
 
 class Terms(NamedTuple):
-    """What the operators say; docs/announce.md. Times in seconds."""
+    """What the operators say; docs/bgp.md. Times in seconds."""
 
     least_others: int
     crowded_share: float
@@ -216,7 +216,7 @@
         return self.away * 0.5 ** (max(0.0, now - self.away_at) / FORGET)
 
     def wanted(self, now: float, one: Address) -> Why:
-        """The rules, first that holds; docs/announce.md names each."""
+        """The rules, first that holds; docs/bgp.md names each."""
         look, terms = self.last, self.terms
         settled = now >= one.since + terms.settle
         if now >= self.withdraw_at:
--- a/thymeyoke/announce/speaker.py
+++ b/thymeyoke/bgp/peer_connection.py
@@ -13,11 +13,12 @@
 import anyio
 from anyio.abc import SocketStream, TaskGroup
 
-from thymeyoke.announce import routes, tcp, wire
-from thymeyoke.announce.attributes import Route, Way
-from thymeyoke.announce.decide import Bucket, Level
-from thymeyoke.announce.section import Announce, Peer, Prefix
-from thymeyoke.announce.session import (
+from thymeyoke.bgp import routes, tcp, wire
+from thymeyoke.bgp.attributes import Route, Way
+from thymeyoke.bgp.configuration import Announce, Peer, Prefix
+from thymeyoke.bgp.controller import Bucket, Level
+from thymeyoke.bgp.presentation import Shown, place
+from thymeyoke.bgp.session import (
     CALM,
     Action,
     Dial,
@@ -35,10 +36,9 @@
     Up,
     loses,
 )
-from thymeyoke.announce.shown import Shown, place
-from thymeyoke.net import log
-from thymeyoke.net.behind import Refused
-from thymeyoke.net.clock import clock
+from thymeyoke.runtime import logs
+from thymeyoke.runtime.clock import clock
+from thymeyoke.runtime.extensions import Refused
 
 CHUNK = 1 << 14
 FLOOD, FLOOD_SPAN = float(1 << 20), 8.0  # octets that a peer may say at once, and until it may again
@@ -99,10 +99,10 @@
                     speaker.down(self)
                 case Took(heard):
                     for way, text in heard.faults:
-                        log.counts[
+                        logs.counts[
                             "announce_" + ("treated_as_withdrawn" if way == Way.WITHDRAW else "discarded")
                         ] += 1
-                        log.of_peer("bgp attribute", peer=speaker.peer.name, why=text)
+                        logs.of_peer("bgp attribute", peer=speaker.peer.name, why=text)
                     speaker.shown.heard(speaker.peer.name, heard)
                     speaker.changed()
                 case Refreshed(said):
@@ -160,8 +160,8 @@
                     await self._read(stream)
                     scope.cancel()
         except Exception as error:
-            log.counts["announce_error"] += 1
-            log.say(logging.ERROR, "bgp connection ends", error, peer=self.speaker.peer.name)
+            logs.counts["announce_error"] += 1
+            logs.say(logging.ERROR, "bgp connection ends", error, peer=self.speaker.peer.name)
         finally:
             over.set()
         if self.stream is stream:
@@ -175,7 +175,7 @@
                 return
             now = clock()
             if not self.flood.has(now, len(data)):
-                log.counts["announce_floods"] += 1
+                logs.counts["announce_floods"] += 1
                 return self.hear(Event.UPDATE_ERROR, wire.Wrong(wire.Code.CEASE, 8))
             self.flood.take(now, len(data))
             try:
@@ -185,11 +185,11 @@
                         return
                     self.reader.agreed = self.session.agreed
             except wire.Wrong as error:
-                log.counts["announce_garbled"] += 1
+                logs.counts["announce_garbled"] += 1
                 return self.do(self.session.garbled(now, error))
 
     def take(self, now: float, message: wire.Message) -> None:
-        log.counts["announce_messages_in"] += 1
+        logs.counts["announce_messages_in"] += 1
         before = self.session.state
         self.do(self.session.take(now, message))
         if before == State.OPEN_SENT and self.session.state == State.OPEN_CONFIRM:
@@ -225,7 +225,7 @@
             if agreed.enhanced:
                 out += [wire.encode(refresh._replace(kind=2)) for refresh in self.again]
             self.again.clear()
-            log.counts["announce_updates_out"] += len(updates)
+            logs.counts["announce_updates_out"] += len(updates)
         return b"".join(out)
 
     def _watch(self, size: int) -> None:
@@ -339,8 +339,8 @@
     # What the connections tell.
 
     def up(self, talk: Talk) -> None:
-        log.counts["announce_sessions_up"] += 1
-        log.say(logging.INFO, "bgp up", peer=self.peer.name, hold=talk.session.hold)
+        logs.counts["announce_sessions_up"] += 1
+        logs.say(logging.INFO, "bgp up", peer=self.peer.name, hold=talk.session.hold)
         if talk is not self.main:
             self.other, self.main = self.main, talk
         if self.other:
@@ -348,8 +348,8 @@
             self.other = None
 
     def down(self, talk: Talk) -> None:
-        log.counts["announce_sessions_lost"] += 1
-        log.say(logging.WARNING, "bgp down", peer=self.peer.name, why=talk.session.error or "stopped")
+        logs.counts["announce_sessions_lost"] += 1
+        logs.say(logging.WARNING, "bgp down", peer=self.peer.name, why=talk.session.error or "stopped")
         self.shown.lost(self.peer.name)
         self.changed()
 
--- a/thymeyoke/announce/shown.py
+++ b/thymeyoke/bgp/presentation.py
@@ -11,9 +11,9 @@
 from ipaddress import ip_address
 from typing import NamedTuple
 
-from thymeyoke.announce.attributes import GRACEFUL_SHUTDOWN, MARK, Heard, Path
-from thymeyoke.announce.section import Prefix
-from thymeyoke.announce.wire import IPV4, IPV6, Family, Nlri, Refresh
+from thymeyoke.bgp.attributes import GRACEFUL_SHUTDOWN, MARK, Heard, Path
+from thymeyoke.bgp.configuration import Prefix
+from thymeyoke.bgp.wire import IPV4, IPV6, Family, Nlri, Refresh
 
 PATHS = 64
 
--- a/thymeyoke/announce/routes.py
+++ b/thymeyoke/bgp/routes.py
@@ -4,11 +4,11 @@
 
 from collections.abc import Mapping
 
-from thymeyoke.announce.attributes import Route, announcement, withdrawal
-from thymeyoke.announce.decide import Level
-from thymeyoke.announce.section import Announce, Peer, Prefix
-from thymeyoke.announce.shown import nlri, place
-from thymeyoke.announce.wire import Agreed, Family, Update
+from thymeyoke.bgp.attributes import Route, announcement, withdrawal
+from thymeyoke.bgp.configuration import Announce, Peer, Prefix
+from thymeyoke.bgp.controller import Level
+from thymeyoke.bgp.presentation import nlri, place
+from thymeyoke.bgp.wire import Agreed, Family, Update
 
 
 def route(told: Announce, peer: Peer, prefix: Prefix, level: Level) -> Route | None:
--- a/thymeyoke/announce/session.py
+++ b/thymeyoke/bgp/session.py
@@ -13,8 +13,8 @@
 from random import Random
 from typing import NamedTuple
 
-from thymeyoke.announce import attributes, wire
-from thymeyoke.announce.wire import Cap, Capability, Code, Family, Open, Wrong
+from thymeyoke.bgp import attributes, wire
+from thymeyoke.bgp.wire import Cap, Capability, Code, Family, Open, Wrong
 
 LARGE_HOLD = 4  # times the hold time told: how long a peer has for its OPEN
 KEEPALIVES = 3  # in a hold time, RFC 4271 section 4.4
--- a/thymeyoke/announce/tcp.py
+++ b/thymeyoke/bgp/tcp.py
@@ -18,9 +18,9 @@
 import anyio
 from anyio.abc import SocketAttribute, SocketStream
 
-from thymeyoke.announce.section import Announce, Peer
-from thymeyoke.net.behind import Refused
-from thymeyoke.orders import HostPort, Ip
+from thymeyoke.bgp.configuration import Announce, Peer
+from thymeyoke.configuration.service_config import HostPort, Ip
+from thymeyoke.runtime.extensions import Refused
 
 MD5SIG = 14  # TCP_MD5SIG, linux/tcp.h
 MIN_TTL, MIN_HOPS = 21, 73  # IP_MINTTL, IPV6_MINHOPCOUNT
--- a/thymeyoke/orders.py
+++ b/thymeyoke/configuration/service_config.py
@@ -22,7 +22,13 @@
 import msgspec
 
 # Each has `gather`: the section and those under it.
-SECTIONS = {name: f"thymeyoke.{name}.section" for name in ("announce", "ledger", "members", "moves", "node")}
+SECTIONS = {
+    "announce": "thymeyoke.bgp.configuration",
+    "ledger": "thymeyoke.ledger.configuration",
+    "members": "thymeyoke.membership.configuration",
+    "moves": "thymeyoke.migration.configuration",
+    "node": "thymeyoke.proxy.configuration",
+}
 
 SECRET = ("password", "key")  # not told in errors
 Section = TypeVar("Section", bound=msgspec.Struct)
--- a/thymeyoke/start.py
+++ b/thymeyoke/configuration/start_file.py
@@ -13,23 +13,23 @@
 
 import orjson
 
-from thymeyoke.port import facts
+from thymeyoke.admission import settings
 
 MICRO = 1e-6
 MEGABYTE = 1 << 20
 REPEATS = {
-    "retryable": facts.Repeat.RETRYABLE,
-    "dedup": facts.Repeat.KEYED,
-    "fragile": facts.Repeat.NON_RETRYABLE,
+    "retryable": settings.Repeat.RETRYABLE,
+    "dedup": settings.Repeat.KEYED,
+    "fragile": settings.Repeat.NON_RETRYABLE,
 }
-BELOW = {"one_for_all": facts.Below.SHARED, "tier": facts.Below.TIER, "silent": facts.Below.NOTHING}
+BELOW = {"one_for_all": settings.Below.SHARED, "tier": settings.Below.TIER, "silent": settings.Below.NOTHING}
 SIGNALS = {
-    "floor": facts.Signal.FLOOR,
-    "allowance": facts.Signal.ALLOWANCE,
-    "weight": facts.Signal.WEIGHT,
-    "silent": facts.Signal.NOTHING,
+    "floor": settings.Signal.FLOOR,
+    "allowance": settings.Signal.ALLOWANCE,
+    "weight": settings.Signal.WEIGHT,
+    "silent": settings.Signal.NOTHING,
 }
-HALTS = {"freeze": facts.Halt.PAUSE, "discard": facts.Halt.DROP, "silent": facts.Halt.NOTHING}
+HALTS = {"freeze": settings.Halt.PAUSE, "discard": settings.Halt.DROP, "silent": settings.Halt.NOTHING}
 GAUGES = {"cpu_busy": "busy", "runnable": "runnable", "mem_used": "memory", "sockets": "connections"}
 HIGHEST_PORT = 65535
 MOST_DESCRIPTORS = 1024  # where no limit is told
@@ -119,21 +119,21 @@
     return repr(value) if len(repr(value)) <= 40 else type(value).__name__
 
 
-def op_types(profile: dict[str, Any]) -> tuple[facts.OpType, ...]:
-    settings = Fields(profile, "settings")
-    family = settings.section("family_info", optional=True)
-    rows = settings.rows("request_classes")
+def op_types(profile: dict[str, Any]) -> tuple[settings.OpType, ...]:
+    root = Fields(profile, "settings")
+    family = root.section("family_info", optional=True)
+    rows = root.rows("request_classes")
     if not rows:
-        raise settings.bad("request_classes", "a list with at least one class")
+        raise root.bad("request_classes", "a list with at least one class")
     return tuple(_op_type(row, family, at) for at, row in enumerate(rows))
 
 
-def _op_type(row: Fields, family: Fields, at: int) -> facts.OpType:
+def _op_type(row: Fields, family: Fields, at: int) -> settings.OpType:
     deadline = row.number("deadline_us", above=0)
     repeat = row.word("effect", REPEATS)
     # A window that is not told must not be none: a repeat within the client's patience would run again.
-    window = row.number("memory_span_us", deadline if repeat is facts.Repeat.KEYED else 0)
-    return facts.OpType(
+    window = row.number("memory_span_us", deadline if repeat is settings.Repeat.KEYED else 0)
+    return settings.OpType(
         target=row.number("aim_us", above=0) * MICRO,
         timeout=deadline * MICRO,
         repeat=repeat,
@@ -148,21 +148,21 @@
 
 def start(seed: int, profile: dict[str, Any]) -> dict[str, Any]:
     """What the decisions are handed at a start, by the names that they take."""
-    settings = Fields(profile, "settings")
-    family, contract = settings.section("family_info"), settings.section("contract")
+    root = Fields(profile, "settings")
+    family, contract = root.section("family_info"), root.section("contract")
     return {
         "seed": seed,
         "op_types": op_types(profile),
-        "machine": facts.Machine(
+        "machine": settings.Machine(
             cores=family.number("cpus", above=0),
             memory=family.number("memory_kb", above=0),
             run_factor=family.number("run_factor", above=0),
             key_size=family.number("kb_per_key", 0),
-            tick=settings.number("tick_us", 0) * MICRO,
+            tick=root.number("tick_us", 0) * MICRO,
             halt=family.word("halt", HALTS, "silent"),
             gauges=tuple(GAUGES.get(name, name) for name in map(str, family.entries("gauges"))),
         ),
-        "survival": facts.Survival(
+        "survival": settings.Survival(
             crowd=contract.number("fall_multiple", least=1),
             crowd_span=contract.number("fall_us") * MICRO,
             cold=family.flag("cold"),
@@ -170,25 +170,25 @@
             cold_share=contract.number("cold_share", 0),
             cold_span=contract.number("cold_us", 0) * MICRO,
         ),
-        "duty": facts.Duty(
+        "duty": settings.Duty(
             contract.number("answer_slack_us") * MICRO, contract.number("drain_grace_us") * MICRO
         ),
         "dependency": _dependency(family),
-        "callers": _callers(settings, family),
+        "callers": _callers(root, family),
         "tenants": tuple(
-            facts.Tenant(row.number("share", 0), row.number("quota_per_s", 0))
-            for row in settings.rows("tenants")
+            settings.Tenant(row.number("share", 0), row.number("quota_per_s", 0))
+            for row in root.rows("tenants")
         ),
     }
 
 
-def _dependency(family: Fields) -> facts.Dependency:
+def _dependency(family: Fields) -> settings.Dependency:
     kind, fair_calls = family.word("below", BELOW, "silent"), family.number("fair_calls", 0)
-    if kind is facts.Below.SHARED and not fair_calls:
+    if kind is settings.Below.SHARED and not fair_calls:
         # A part that is not told is not a part of nothing, which would let no call out, ever: as with a tier,
         # the answers alone tell how much what lies below takes.
-        kind = facts.Below.TIER
-    return facts.Dependency(
+        kind = settings.Below.TIER
+    return settings.Dependency(
         kind=kind,
         fair_calls=fair_calls,
         fair_span=family.number("calls_over_us", 0) * MICRO,
@@ -196,15 +196,15 @@
     )
 
 
-def _callers(settings: Fields, family: Fields) -> facts.Callers:
-    caps = settings.section("caps", optional=True)
+def _callers(root: Fields, family: Fields) -> settings.Callers:
+    caps = root.section("caps", optional=True)
     longest_wait = caps.number("max_retry_after_us", 0) * MICRO
-    return facts.Callers(
+    return settings.Callers(
         count=family.number("callers", 0),
         signal=family.word("signal", SIGNALS, "silent"),
         heeded=family.number("heeded_us", 0) * MICRO,
         max_wait=longest_wait if caps.flag("retry_after") else 0.0,
-        marks_further=settings.section("clients", optional=True).flag("marks_retry"),
+        marks_further=root.section("clients", optional=True).flag("marks_retry"),
         # Callers who are not said to close idle connections keep them: none is closed at every look for it.
         idle=(family.number("idle_us", 0) or NO_IDLE_CLOSE_US) * MICRO,
         fresh=family.number("fresh_for_us", 0) * MICRO,
@@ -254,7 +254,7 @@
     fields = Fields(told)
     family = fields.section("settings").section("family_info")
     limits = fields.section("limits", optional=True)
-    calls = bool(told.get("db")) or family.word("below", BELOW, "silent") is not facts.Below.NOTHING
+    calls = bool(told.get("db")) or family.word("below", BELOW, "silent") is not settings.Below.NOTHING
     return Station(
         name=fields.text("name"),
         listen=address(fields, "listen", least_port=0),  # 0: any that is free
@@ -274,10 +274,10 @@
 
 
 def names(profile: dict[str, Any]) -> Names:
-    settings = Fields(profile, "settings")
+    root = Fields(profile, "settings")
     return Names(
-        {row.text("name"): at for at, row in enumerate(settings.rows("request_classes"))},
-        {row.text("name"): at for at, row in enumerate(settings.rows("tenants"))},
+        {row.text("name"): at for at, row in enumerate(root.rows("request_classes"))},
+        {row.text("name"): at for at, row in enumerate(root.rows("tenants"))},
     )
 
 
--- a/thymeyoke/ledger/commands.py
+++ b/thymeyoke/ledger/commands.py
@@ -11,12 +11,12 @@
 import click
 import orjson
 
-from thymeyoke.ledger import book as books
+from thymeyoke.ledger import export_store as vaults
 from thymeyoke.ledger import statement as statements
-from thymeyoke.ledger import vault as vaults
-from thymeyoke.ledger.book import BadBook, Book
-from thymeyoke.ledger.entries import MICRO, Amounts
-from thymeyoke.ledger.vault import Vault
+from thymeyoke.ledger import usage_journal as books
+from thymeyoke.ledger.export_store import Vault
+from thymeyoke.ledger.usage_entries import MICRO, Amounts
+from thymeyoke.ledger.usage_journal import BadBook, Book
 
 UNITS = ("ops", "run", "calls", "importance", "octets")
 
@@ -172,15 +172,15 @@
     """
     import anyio
 
+    from thymeyoke.configuration.service_config import HostPort
     from thymeyoke.ledger import receiver
-    from thymeyoke.net import log
-    from thymeyoke.orders import HostPort
+    from thymeyoke.runtime import logs
 
     try:
         where = HostPort.parse(listen)
     except ValueError:
         raise click.UsageError(f"--listen {listen!r} can't be used; give an IP address and a port") from None
-    log.set_up(log_level, log_form)
+    logs.set_up(log_level, log_form)
     try:
         anyio.run(receiver.receive, str(where.ip), where.port, path)
     except (BadBook, OSError) as error:
--- a/thymeyoke/ledger/section.py
+++ b/thymeyoke/ledger/configuration.py
@@ -6,7 +6,7 @@
 
 from msgspec import Meta, Struct
 
-from thymeyoke.orders import PORT, HostPort, Raw
+from thymeyoke.configuration.service_config import PORT, HostPort, Raw
 
 ANSWERS, FULL = ("before", "after"), ("refuse", "lose")
 
--- a/thymeyoke/ledger/vault.py
+++ b/thymeyoke/ledger/export_store.py
@@ -9,9 +9,9 @@
 from secrets import token_bytes
 
 from thymeyoke.ledger import wire
-from thymeyoke.ledger.book import BadBook, Transaction, connect, no_step
 from thymeyoke.ledger.export import Held, judge
 from thymeyoke.ledger.statement import Stream, prefix
+from thymeyoke.ledger.usage_journal import BadBook, Transaction, connect, no_step
 from thymeyoke.ledger.wire import Batch, Refused, Taken
 
 FORMAT = 1
--- a/thymeyoke/ledger/exporter.py
+++ b/thymeyoke/ledger/exporter.py
@@ -11,12 +11,12 @@
 import anyio
 from anyio.abc import SocketStream
 
+from thymeyoke.configuration.service_config import HostPort
 from thymeyoke.ledger import wire
-from thymeyoke.ledger.book import Book, Made
 from thymeyoke.ledger.export import At, Dial, Drop, Greet, Mark, Pin, Send, Sender
-from thymeyoke.net import log
-from thymeyoke.net.clock import clock
-from thymeyoke.orders import HostPort
+from thymeyoke.ledger.usage_journal import Book, Made
+from thymeyoke.runtime import logs
+from thymeyoke.runtime.clock import clock
 
 CHUNK = 1 << 14
 LOST = (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError, OSError)
@@ -61,11 +61,11 @@
         if self.sender.why != self.said:
             self.said = self.sender.why
             level = logging.ERROR if self.sender.at == At.HALTED else logging.WARNING
-            log.say(level, "ledger export", state=self.sender.at.value, why=self.said)
+            logs.say(level, "ledger export", state=self.sender.at.value, why=self.said)
         if self.sender.at == At.HALTED:
-            log.counts["ledger_export_halted"] = 1
+            logs.counts["ledger_export_halted"] = 1
         else:
-            log.counts["ledger_export_lost"] += 1
+            logs.counts["ledger_export_lost"] += 1
 
     async def _connection(self) -> None:
         try:
@@ -106,7 +106,7 @@
         except LOST:
             self.sender.lost(clock(), "connection lost")
         except wire.BadSay as error:
-            log.counts["ledger_export_garbled"] += 1
+            logs.counts["ledger_export_garbled"] += 1
             self.sender.lost(clock(), str(error))
         tasks.cancel_scope.cancel()
 
@@ -120,10 +120,10 @@
                     if batch is not None:
                         self.book.step("send")
                         await self._say(stream, batch)
-                        log.counts["ledger_batches_out"] += 1
+                        logs.counts["ledger_batches_out"] += 1
                 case Mark(number):
                     await self.off(lambda number=number: self.book.marked(number))
-                    log.counts["ledger_acknowledged"] = number
+                    logs.counts["ledger_acknowledged"] = number
                 case Pin(receiver):
                     await self.off(lambda receiver=receiver: self.book.pin(receiver))
                 case Drop():
--- a/thymeyoke/ledger/receiver.py
+++ b/thymeyoke/ledger/receiver.py
@@ -12,8 +12,8 @@
 
 from thymeyoke.ledger import wire
 from thymeyoke.ledger.export import stranger
-from thymeyoke.ledger.vault import Vault
-from thymeyoke.net import log
+from thymeyoke.ledger.export_store import Vault
+from thymeyoke.runtime import logs
 
 CHUNK = 1 << 16
 CONNECTIONS = 1024
@@ -31,7 +31,7 @@
     ) -> None:
         listener = await anyio.create_tcp_listener(local_host=host, local_port=port)
         where = listener.listeners[0].extra(SocketAttribute.local_port)
-        log.say(logging.INFO, "receiving", address=f"{host}:{where}", path=self.vault.path)
+        logs.say(logging.INFO, "receiving", address=f"{host}:{where}", path=self.vault.path)
         async with listener:
             task_status.started(where)
             await listener.serve(self._serve)
@@ -44,11 +44,11 @@
         except (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError, TimeoutError):
             pass
         except wire.BadSay as error:
-            log.counts["ledger_bad_say"] += 1
-            log.of_peer("connection closed", why=str(error))
+            logs.counts["ledger_bad_say"] += 1
+            logs.of_peer("connection closed", why=str(error))
         except Exception as error:  # a store that can't be written: the sender comes again
-            log.counts["ledger_receive_error"] += 1
-            log.say(logging.ERROR, "connection ends", error)
+            logs.counts["ledger_receive_error"] += 1
+            logs.say(logging.ERROR, "connection ends", error)
         finally:
             self.open -= 1
             await anyio.aclose_forcefully(stream)
@@ -72,11 +72,11 @@
                         case wire.Batch() if book:
                             answer = await self._off(lambda book=book, said=said: self.vault.take(book, said))
                             kind = "refused" if isinstance(answer, wire.Refused) else "taken"
-                            log.counts[f"ledger_{kind}"] += 1
+                            logs.counts[f"ledger_{kind}"] += 1
                         case _:
                             raise wire.BadSay("a message out of turn")
                     if isinstance(answer, wire.Refused):
-                        log.of_peer("refused", why=answer.why, book=book.hex()[:8])
+                        logs.of_peer("refused", why=answer.why, book=book.hex()[:8])
                     await stream.send(wire.encode(answer))
 
     async def _off(self, what):  # noqa: ANN001, ANN202 (the type of what it calls)
@@ -95,4 +95,4 @@
             tasks.cancel_scope.cancel()
     finally:
         vault.close_file()
-    log.say(logging.INFO, "left", **log.counts)
+    logs.say(logging.INFO, "left", **logs.counts)
--- a/thymeyoke/ledger/statement.py
+++ b/thymeyoke/ledger/statement.py
@@ -10,8 +10,8 @@
 from typing import Any, NamedTuple
 
 from thymeyoke.ledger import wire
-from thymeyoke.ledger.entries import Amounts, Kind, Line, sums
 from thymeyoke.ledger.export import Held
+from thymeyoke.ledger.usage_entries import Amounts, Kind, Line, sums
 from thymeyoke.ledger.wire import Batch, Body
 
 
--- a/thymeyoke/ledger/book.py
+++ b/thymeyoke/ledger/usage_journal.py
@@ -25,7 +25,7 @@
 from typing import Any, NamedTuple
 
 from thymeyoke.ledger import wire
-from thymeyoke.ledger.entries import Amounts, Entry, Kind, Line, Periods, Use, sums
+from thymeyoke.ledger.usage_entries import Amounts, Entry, Kind, Line, Periods, Use, sums
 from thymeyoke.ledger.wire import Batch, Body
 
 FORMAT = 1
--- a/thymeyoke/ledger/keeper.py
+++ b/thymeyoke/ledger/usage_recorder.py
@@ -24,13 +24,13 @@
 from anyio.streams.memory import MemoryObjectSendStream
 
 from thymeyoke.ledger import exporter
-from thymeyoke.ledger.book import BadBook, Book, Made
-from thymeyoke.ledger.entries import Kind, Recent, Use
-from thymeyoke.ledger.section import Ledger
-from thymeyoke.net import log
-from thymeyoke.net.behind import Around, Refused
-from thymeyoke.net.clock import clock
-from thymeyoke.net.mail import Answer, Asker, Draining, Event, Over, Reformed, Standing, Verdict
+from thymeyoke.ledger.configuration import Ledger
+from thymeyoke.ledger.usage_entries import Kind, Recent, Use
+from thymeyoke.ledger.usage_journal import BadBook, Book, Made
+from thymeyoke.runtime import logs
+from thymeyoke.runtime.clock import clock
+from thymeyoke.runtime.extensions import Around, Refused
+from thymeyoke.server.messages import Answer, Asker, Draining, Event, Over, Reformed, Standing, Verdict
 
 MOST = 20_000
 GROUP = 1000
@@ -94,7 +94,7 @@
                 self.over = True
                 self.stirred.set()
             elif what.section != self.told:
-                log.say(logging.WARNING, "[ledger] has changed: it takes effect at the next start")
+                logs.say(logging.WARNING, "[ledger] has changed: it takes effect at the next start")
 
     def takes(self) -> bool:
         """Whether an op may come in: with `refuse`, only while its use can be kept."""
@@ -113,13 +113,13 @@
         waiting = Waiting(op.asker, op.answer, op.until) if op.asker and op.answer else None
         pending = Pending(use, waiting)
         if len(self.queue) >= MOST or (self.too_large and self.told.full == "lose"):
-            log.counts["ledger_lost"] += 1
+            logs.counts["ledger_lost"] += 1
             return pending.tell()
         if waiting is not None:
             if kind not in (Kind.ACKED, Kind.REPEAT) or self.told.answers == "before":
                 pending.tell()  # what is given up is told at once, whatever the book does
             elif not self.running:
-                log.counts["ledger_told_unbacked"] += 1
+                logs.counts["ledger_told_unbacked"] += 1
                 pending.tell()
             else:
                 self.order += 1
@@ -169,7 +169,7 @@
         try:
             return await self._off(lambda: Book(path, self.told.period, durable))
         except BadBook as error:
-            log.counts["ledger_bad_book"] += 1
+            logs.counts["ledger_bad_book"] += 1
             raise RuntimeError(f"no ledger: {error}") from None
 
     async def _off(self, what: Callable[[], Found]) -> Found:
@@ -199,9 +199,9 @@
                     await self._close()
                 pause = RETRY
             except sqlite3.Error as error:  # full, or broken: the group stays and is tried again
-                log.counts["ledger_commit_failed"] += 1
+                logs.counts["ledger_commit_failed"] += 1
                 if pause == RETRY:
-                    log.say(logging.ERROR, "ledger not written", error)
+                    logs.say(logging.ERROR, "ledger not written", error)
                 await anyio.sleep(pause)
                 pause = min(RETRY_TOP, 2 * pause)
                 continue
@@ -215,8 +215,8 @@
         assert book is not None
         made = await self._off(lambda: book.append([pending.use for pending in group]))
         self.group = []
-        log.counts["ledger_entries"] += made
-        log.counts["ledger_groups"] += 1
+        logs.counts["ledger_entries"] += made
+        logs.counts["ledger_groups"] += 1
         for pending in group:
             pending.tell()
         while self.late and self.late[0][2].waiting is None:
@@ -232,16 +232,16 @@
             return made, folded, book.size(), book.meta("kept")
 
         made, folded, size, kept = await self._off(work)
-        log.counts["ledger_batches"] += len(made)
-        log.counts["ledger_folded"] += folded
+        logs.counts["ledger_batches"] += len(made)
+        logs.counts["ledger_folded"] += folded
         was, self.too_large = self.too_large, size > self.told.limit_mb << 20
         if self.too_large and not was:
-            log.say(logging.ERROR, "ledger is full", size=size, full=self.told.full)
+            logs.say(logging.ERROR, "ledger is full", size=size, full=self.told.full)
         shares = self.recent.shares(clock())
-        for old in [name for name in log.gauges if name.startswith("ledger_share_")]:
-            del log.gauges[old]
+        for old in [name for name in logs.gauges if name.startswith("ledger_share_")]:
+            del logs.gauges[old]
         for tenant, share in list(shares.items())[:8]:
-            log.gauges[f"ledger_share_{tenant or 'none'}"] = round(share, 3)
+            logs.gauges[f"ledger_share_{tenant or 'none'}"] = round(share, 3)
         if self.sender is not None:
             self.sender.made(made, kept)
 
@@ -252,7 +252,7 @@
             while self.late and (self.late[0][0] <= now or self.late[0][2].waiting is None):
                 pending = heappop(self.late)[2]
                 if pending.waiting is not None:
-                    log.counts["ledger_told_unbacked"] += 1
+                    logs.counts["ledger_told_unbacked"] += 1
                     pending.tell()
             self.timed = anyio.Event()
             span = self.late[0][0] - clock() if self.late else float("inf")
--- a/thymeyoke/ledger/wire.py
+++ b/thymeyoke/ledger/wire.py
@@ -10,7 +10,7 @@
 from google.protobuf.message import DecodeError
 
 from thymeyoke.ledger import ledger_pb2 as pb
-from thymeyoke.ledger.entries import Amounts, Kind, Line
+from thymeyoke.ledger.usage_entries import Amounts, Kind, Line
 
 MOST = 1 << 20  # octets of a message
 ROWS = 1000  # of a batch: a period with more lines is cut in parts
--- a/thymeyoke/members/__init__.py
+++ b/thymeyoke/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Who is there, in which life, how full: snapshots and views. docs/members.md."""
+"""Who is there, in which life, how full: snapshots and views. docs/membership.md."""
--- a/thymeyoke/members/section.py
+++ b/thymeyoke/membership/configuration.py
@@ -6,7 +6,7 @@
 
 from msgspec import Meta, Struct
 
-from thymeyoke.orders import PORT, HostPort, Raw
+from thymeyoke.configuration.service_config import PORT, HostPort, Raw
 
 Span = Annotated[float, Meta(gt=0, le=3600, description="seconds, more than 0 and at most 3600")]
 
--- a/thymeyoke/members/decide.py
+++ b/thymeyoke/membership/controller.py
@@ -3,7 +3,7 @@
 Pure. SWIM (Das, Gupta, Motivala 2002) with Lifeguard's local health and shrinking suspicion (Dadgar and
 others 2018). Each period one member is probed, in a shuffled round; where it does not answer, through
 others; then it is suspected, and dead when it has not refuted that in time. News rides on probes and
-their answers; nodes besides tell each other of themselves each period, straight. docs/members.md weighs it
+their answers; nodes besides tell each other of themselves each period, straight. docs/membership.md weighs it
 against leases, and has the state table and the rules.
 
 Orders decide, never clocks: `now` measures spans of this process alone.
@@ -16,22 +16,7 @@
 from random import Random
 from typing import NamedTuple
 
-from thymeyoke.members.bounds import fault
-from thymeyoke.members.news import (
-    MESH_NEWS,
-    NEWS,
-    Action,
-    Fresh,
-    Item,
-    Kind,
-    Message,
-    Noted,
-    Rumour,
-    Send,
-    Verdict,
-    detail_cost,
-)
-from thymeyoke.members.trust import (
+from thymeyoke.membership.failure_detector import (
     DEAD_STAYS,
     EPOCH,
     GONE_STAYS,
@@ -49,7 +34,22 @@
     epoch,
     step,
 )
-from thymeyoke.members.view import Member, Snapshot, State, Trust, View
+from thymeyoke.membership.gossip import (
+    MESH_NEWS,
+    NEWS,
+    Action,
+    Fresh,
+    Item,
+    Kind,
+    Message,
+    Noted,
+    Rumour,
+    Send,
+    Verdict,
+    detail_cost,
+)
+from thymeyoke.membership.limits import fault
+from thymeyoke.membership.view import Member, Snapshot, State, Trust, View
 
 MOST = 4096  # members known at once; then the dead make room, and without any strangers are left out
 SPEAKS = 1 / 4  # of a probe's span: so long the member itself has to answer, then others ask it
--- a/thymeyoke/members/behind.py
+++ b/thymeyoke/membership/extension.py
@@ -13,14 +13,15 @@
 import anyio
 from anyio.streams.memory import MemoryObjectSendStream
 
-from thymeyoke.members.actor import Fleet, incarnation
-from thymeyoke.members.section import Members
-from thymeyoke.members.server import Figures, serves
-from thymeyoke.members.view import Snapshot, State
-from thymeyoke.net import log
-from thymeyoke.net.behind import Around, Refused
-from thymeyoke.net.clock import clock
-from thymeyoke.net.mail import Draining, Event, Probe, Reformed, Standing, waiting
+from thymeyoke.membership.configuration import Members
+from thymeyoke.membership.load import Figures, serves
+from thymeyoke.membership.service import Fleet, incarnation
+from thymeyoke.membership.view import Snapshot, State
+from thymeyoke.runtime import logs
+from thymeyoke.runtime.clock import clock
+from thymeyoke.runtime.extensions import Around, Refused
+from thymeyoke.runtime.mailbox import take_all
+from thymeyoke.server.messages import Draining, Event, Probe, Reformed, Standing
 
 LOOK = 0.25  # seconds between looks at the server
 LETTERS = 32
@@ -52,7 +53,7 @@
         try:
             self.outbox.send_nowait(what)
         except anyio.WouldBlock:
-            log.counts["members_letters_full"] += 1
+            logs.counts["members_letters_full"] += 1
         except (anyio.BrokenResourceError, anyio.ClosedResourceError):
             pass
 
@@ -81,12 +82,12 @@
                 self._ask(now)
             with anyio.move_on_after(max(0.0, look_at - clock())):
                 self._hear(await self.letters.receive())
-            for letter in waiting(self.letters):
+            for letter in take_all(self.letters):
                 self._hear(letter)
 
     def _ask(self, now: float) -> None:
         if self.figures.asked(now):
-            log.counts["members_late_looks"] += 1
+            logs.counts["members_late_looks"] += 1
             self.figures.say(now, self.fleet.say)
         with suppress(anyio.WouldBlock, anyio.BrokenResourceError, anyio.ClosedResourceError):
             self.desk.send_nowait(Probe(self))
@@ -95,7 +96,7 @@
         now = clock()
         match letter:
             case Standing():
-                self.figures.look(now, letter, log.counts["connections"])
+                self.figures.look(now, letter, logs.counts["connections"])
                 self.figures.say(now, self.fleet.say)
             case Draining():
                 self.figures.leaves()
--- a/thymeyoke/members/trust.py
+++ b/thymeyoke/membership/failure_detector.py
@@ -1,8 +1,8 @@
 """What this process makes of one other: its trust as a state machine, and what is known of it, newest first.
 
-Pure. docs/members.md has the table, row by row; `MOVES` is the same, with the rows that change nothing left
-out. Orders decide, never clocks: (incarnation, sequence) of a snapshot, and the upper part of the sequence,
-the *epoch*, which a process raises to refute what is said of it.
+Pure. docs/membership.md has the table, row by row; `MOVES` is the same, with the rows that change nothing
+left out. Orders decide, never clocks: (incarnation, sequence) of a snapshot, and the upper part of the
+sequence, the *epoch*, which a process raises to refute what is said of it.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from math import log
 from typing import NamedTuple
 
-from thymeyoke.members.view import Load, Snapshot, State, Trust
+from thymeyoke.membership.view import Load, Snapshot, State, Trust
 
 EPOCH = 1 << 20  # snapshots of one epoch: a beat a second fills one in 12 days, which refutes for nothing
 CONFIRMS = 3  # others who suspect too, from which on a suspicion lasts no longer than its least
--- a/thymeyoke/members/news.py
+++ b/thymeyoke/membership/gossip.py
@@ -13,8 +13,8 @@
 from math import ceil, log2
 from typing import NamedTuple
 
-from thymeyoke.members.trust import Said
-from thymeyoke.members.view import Snapshot
+from thymeyoke.membership.failure_detector import Said
+from thymeyoke.membership.view import Snapshot
 
 NEWS = 4000  # octets of others' news that ride on one message, about
 MESH_NEWS = 500  # at least so many on what a node tells each other one; together about as many as on one
--- a/thymeyoke/members/bounds.py
+++ b/thymeyoke/membership/limits.py
@@ -11,7 +11,7 @@
 from ipaddress import ip_address
 from math import isfinite
 
-from thymeyoke.members.view import LOADS_MOST, NAME_MOST, Load, Snapshot, State
+from thymeyoke.membership.view import LOADS_MOST, NAME_MOST, Load, Snapshot, State
 
 COUNT_MOST = 1 << 32  # connections
 RATE_MOST = 1e9  # connections a second
--- a/thymeyoke/members/server.py
+++ b/thymeyoke/membership/load.py
@@ -7,10 +7,10 @@
 from math import exp
 from typing import TYPE_CHECKING, Any
 
-from thymeyoke.members.view import State
+from thymeyoke.membership.view import State
 
 if TYPE_CHECKING:
-    from thymeyoke.net.mail import Standing
+    from thymeyoke.server.messages import Standing
 
 CALM = 2.0  # seconds over which connections opened are told as a rate
 
--- a/thymeyoke/members/sketch.py
+++ b/thymeyoke/membership/load_sketch.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable, Mapping
 from heapq import heappop, heappush, heapreplace, nlargest
 
-from thymeyoke.members.view import LOADS_MOST, Load
+from thymeyoke.membership.view import LOADS_MOST, Load
 
 
 class Sketch:
--- a/thymeyoke/members/actor.py
+++ b/thymeyoke/membership/service.py
@@ -13,16 +13,17 @@
 
 import anyio
 
-from thymeyoke.members import wire
-from thymeyoke.members.decide import Membership
-from thymeyoke.members.links import NODE, SERVER, Links, last_words
-from thymeyoke.members.news import Action, Noted, Send
-from thymeyoke.members.section import Members
-from thymeyoke.members.trust import HERE
-from thymeyoke.members.view import Snapshot, View
-from thymeyoke.net import log, rpc
-from thymeyoke.net.clock import clock
-from thymeyoke.net.invariants import holds
+from thymeyoke.membership import wire
+from thymeyoke.membership.configuration import Members
+from thymeyoke.membership.controller import Membership
+from thymeyoke.membership.failure_detector import HERE
+from thymeyoke.membership.gossip import Action, Noted, Send
+from thymeyoke.membership.transport import NODE, SERVER, Links, last_words
+from thymeyoke.membership.view import Snapshot, View
+from thymeyoke.runtime import logs
+from thymeyoke.runtime.clock import clock
+from thymeyoke.runtime.invariants import holds
+from thymeyoke.server import routers_wire
 
 TOLD = {"now_unsure": logging.INFO, "now_dead": logging.WARNING, "now_gone": logging.INFO,
         "stood_still": logging.WARNING, "refuted": logging.INFO, "conflict": logging.ERROR,
@@ -88,10 +89,10 @@
         body is over `wire.BODY_MOST` octets. True is no promise: it may be lost with a link."""
         known = self.membership.known.get(name)
         if known is None or known.stand not in HERE or len(body) > wire.BODY_MOST or self.membership.mute:
-            log.counts["members_words_unsent"] += 1
+            logs.counts["members_words_unsent"] += 1
             return False
         went = self.links.tell(known.figures.address, wire.notifications(word, body, self.links.badge))
-        log.counts["members_words_out" if went else "members_words_unsent"] += 1
+        logs.counts["members_words_out" if went else "members_words_unsent"] += 1
         return went
 
     def stood(self) -> tuple[float, float]:
@@ -164,9 +165,9 @@
             match action:
                 case Send(to):
                     if self.links.tell(to, self._letter(action)):
-                        log.counts["members_messages_out"] += 1
+                        logs.counts["members_messages_out"] += 1
                     else:
-                        log.counts["members_messages_unsent"] += 1
+                        logs.counts["members_messages_unsent"] += 1
                 case Noted(what, name, why):
                     self._noted(what, name, why)
         if self.version != self.membership.version:
@@ -177,26 +178,26 @@
         return wire.notifications(wire.WORD, wire.encode(send.message), self.links.badge)
 
     def _noted(self, what: str, name: str, why: str) -> None:
-        log.counts["members_" + what] += 1
+        logs.counts["members_" + what] += 1
         if what in TOLD:
-            log.say(TOLD[what], "member " + what.replace("_", " "), name=name, why=why)
+            logs.say(TOLD[what], "member " + what.replace("_", " "), name=name, why=why)
         elif what in BY_PEERS:
-            log.of_peer("member " + what.replace("_", " "), name=name, why=why)
+            logs.of_peer("member " + what.replace("_", " "), name=name, why=why)
 
     # What is heard.
 
     def _take(self, whole: wire.Whole) -> None:
         """Of a link in; `rpc.BadFrame` closes it."""
-        log.counts["members_messages_in"] += 1
+        logs.counts["members_messages_in"] += 1
         if whole.word != wire.WORD:
             return self._word(whole)
         message = wire.decode(whole.body)
         if message is None:
-            log.counts["members_later_kind"] += 1
+            logs.counts["members_later_kind"] += 1
             return
         said = message.me.snapshot
         if (said.name, said.address) != (whole.name, whole.address):
-            raise rpc.BadFrame("a message whose sender is not the one that it tells of")
+            raise routers_wire.BadFrame("a message whose sender is not the one that it tells of")
         self.membership.heard(clock(), whole.address, message)
         self._stir()
 
@@ -209,11 +210,11 @@
         known = self.membership.known.get(whole.name)
         take = self.ears.get(whole.word)
         if known is None or known.stand not in HERE or known.figures.address != whole.address:
-            log.counts["members_from_nobody"] += 1
+            logs.counts["members_from_nobody"] += 1
         elif take is None:
-            log.counts["members_unknown_word"] += 1
+            logs.counts["members_unknown_word"] += 1
         elif len(whole.body) > wire.BODY_MOST:
-            raise rpc.BadFrame("a word that is too long")
+            raise routers_wire.BadFrame("a word that is too long")
         else:
             self._guarded(take, whole.name, whole.body)
 
@@ -222,5 +223,5 @@
         try:
             what(*given)
         except Exception as error:
-            log.counts["members_word_error"] += 1
-            log.say(logging.ERROR, "member's word", error)
+            logs.counts["members_word_error"] += 1
+            logs.say(logging.ERROR, "member's word", error)
--- a/thymeyoke/members/links.py
+++ b/thymeyoke/membership/transport.py
@@ -17,10 +17,11 @@
 import anyio
 from anyio.abc import Listener, SocketAttribute, SocketStream, TaskGroup
 
-from thymeyoke.members import wire
-from thymeyoke.net import log, rpc
-from thymeyoke.net.clock import clock
-from thymeyoke.net.mail import waiting
+from thymeyoke.membership import wire
+from thymeyoke.runtime import logs
+from thymeyoke.runtime.clock import clock
+from thymeyoke.runtime.mailbox import take_all
+from thymeyoke.server import routers_wire
 
 MAILBOX = 64  # letters to a peer that are not yet written
 CONNECT, STALL = 1.0, 2.0  # periods that a connect, and a write, may take
@@ -78,7 +79,7 @@
         try:
             self.outbox.send_nowait((clock(), letter))
         except anyio.WouldBlock:
-            log.counts["members_outbox_full"] += 1
+            logs.counts["members_outbox_full"] += 1
             self.scope.cancel()
             return False
         except (anyio.BrokenResourceError, anyio.ClosedResourceError):
@@ -101,35 +102,35 @@
             self.unreached = True
             # anyio wraps it; a connect that takes too long, or finds no way, proves nothing.
             self.refused = isinstance(error.__cause__, ConnectionRefusedError)
-            log.counts["members_unreached"] += 1
+            logs.counts["members_unreached"] += 1
         except Exception as error:
-            log.counts["members_error"] += 1
-            log.say(logging.ERROR, "link to a member ends", error, peer=self.address)
+            logs.counts["members_error"] += 1
+            logs.say(logging.ERROR, "link to a member ends", error, peer=self.address)
         finally:
             lost = self.owed
             self.outbox.close()
             self.unsent.close()
-            log.counts["members_letters_lost"] += lost
+            logs.counts["members_letters_lost"] += lost
             if stream is not None:
                 await anyio.aclose_forcefully(stream)
 
     async def _write(self, stream: SocketStream) -> None:
         with suppress(TimeoutError, *LOST):
             async for first in self.unsent:
-                batch = [first, *waiting(self.unsent)]
+                batch = [first, *take_all(self.unsent)]
                 # What waited while this process stood still would pass for news.
                 late = clock() - (CONNECT + STALL) * self.period
                 if letters := [letter for at, letter in batch if at >= late]:
                     with anyio.fail_after(STALL * self.period):
                         await stream.send(b"".join(letters))
                 self.owed -= len(batch)
-                log.counts["members_letters_lost"] += len(batch) - len(letters)
+                logs.counts["members_letters_lost"] += len(batch) - len(letters)
 
     async def _watch(self, stream: SocketStream) -> None:
         """The other side says nothing on it: whatever comes, it is over."""
         with suppress(*LOST):
             await stream.receive(1)
-            log.counts["members_unasked"] += 1
+            logs.counts["members_unasked"] += 1
         self.scope.cancel()
 
 
@@ -159,7 +160,7 @@
         try:
             with self.scope:
                 while True:
-                    data = await self.stream.receive(rpc.CHUNK)
+                    data = await self.stream.receive(routers_wire.CHUNK)
                     self.at = clock()
                     if not self.flood.take(self.at, len(data)):
                         raise wire.Foreign("floods", "it says too much")
@@ -173,12 +174,12 @@
                     self.half_before = self.reader.half()
         except LOST:
             pass
-        except rpc.BadFrame as error:
-            log.counts["members_" + (error.what if isinstance(error, wire.Foreign) else "bad_frame")] += 1
-            log.of_peer("link of a member closed", why=str(error))
+        except routers_wire.BadFrame as error:
+            logs.counts["members_" + (error.what if isinstance(error, wire.Foreign) else "bad_frame")] += 1
+            logs.of_peer("link of a member closed", why=str(error))
         except Exception as error:
-            log.counts["members_error"] += 1
-            log.say(logging.ERROR, "link of a member ends", error)
+            logs.counts["members_error"] += 1
+            logs.say(logging.ERROR, "link of a member ends", error)
         finally:
             self.reader.close()
             await anyio.aclose_forcefully(self.stream)
@@ -220,8 +221,8 @@
             except* OSError as errors:
                 if errors.subgroup(lambda error: getattr(error, "errno", None) in NO_LISTENER):
                     raise
-                log.counts["members_accept_failed"] += 1
-                log.of_peer("member accept failed", why=errors.exceptions[0])
+                logs.counts["members_accept_failed"] += 1
+                logs.of_peer("member accept failed", why=errors.exceptions[0])
             await anyio.sleep(ACCEPT_PAUSE)
 
     def tell(self, address: str, letter: bytes) -> bool:
@@ -239,7 +240,7 @@
 
     def _least_used(self) -> None:
         least = min(self.out.values(), key=lambda link: (link.owed > 0, link.used))
-        log.counts["members_links_full"] += 1
+        logs.counts["members_links_full"] += 1
         del self.out[least.address]
         least.scope.cancel()
 
@@ -256,7 +257,7 @@
 
     async def _heard(self, stream: SocketStream) -> None:
         if len(self.into) >= self.bounds.into and not self._make_room():
-            log.counts["members_too_many"] += 1
+            logs.counts["members_too_many"] += 1
             return await anyio.aclose_forcefully(stream)
         one = Heard(stream, wire.Reader(self.badge, self.pool), self.period)
         self.into.add(one)
@@ -270,7 +271,7 @@
         quiet = min(self.into, key=lambda one: (one.said, one.at))
         if quiet.said and clock() < quiet.at + self.period:
             return False
-        log.counts["members_links_full"] += 1
+        logs.counts["members_links_full"] += 1
         self.into.discard(quiet)
         quiet.scope.cancel()
         return True
@@ -287,7 +288,7 @@
                 begun = one.reader.half() or not one.said
                 since, span = (one.begun_at, HALF_SAID) if begun else (one.at, 2 * IDLE)
                 if now > since + span * self.period:
-                    log.counts["members_half_said" if begun else "members_silent"] += 1
+                    logs.counts["members_half_said" if begun else "members_silent"] += 1
                     one.scope.cancel()
 
 
--- a/thymeyoke/members/wire.py
+++ b/thymeyoke/membership/wire.py
@@ -20,24 +20,24 @@
 import msgspec
 from msgspec import Struct
 
-from thymeyoke.members.news import Kind, Message, Rumour, Verdict
-from thymeyoke.members.trust import Layer, Said
-from thymeyoke.members.view import NAME_MOST, Load, Snapshot, State
-from thymeyoke.net import rpc
-from thymeyoke.start import Names
+from thymeyoke.configuration.start_file import Names
+from thymeyoke.membership.failure_detector import Layer, Said
+from thymeyoke.membership.gossip import Kind, Message, Rumour, Verdict
+from thymeyoke.membership.view import NAME_MOST, Load, Snapshot, State
+from thymeyoke.server import routers_wire
 
 VERSION = 1
 WORD = "members"  # of this package's own messages; other words belong to other subsystems
 WORD_MOST = 32
 PIECES = 3  # of a message, in one notification
-PART = PIECES * rpc.BODY_LIMIT
+PART = PIECES * routers_wire.BODY_LIMIT
 MESSAGE_MOST = 1 << 20  # octets of a message
 BODY_MOST = 8192  # octets of another subsystem's message
 POOL = 1 << 24  # octets of all messages that are not yet whole, of all links together
 MAC = 16
 
 
-class Foreign(rpc.BadFrame):
+class Foreign(routers_wire.BadFrame):
     """Whole, and not for this process. `what` is the word that counts it."""
 
     def __init__(self, what: str, why: str) -> None:
@@ -94,11 +94,13 @@
     out = []
     for part in range(parts):
         mine = body[part * PART : (part + 1) * PART]
-        pieces = [mine[at : at + rpc.BODY_LIMIT] for at in range(0, len(mine), rpc.BODY_LIMIT)]
+        pieces = [
+            mine[at : at + routers_wire.BODY_LIMIT] for at in range(0, len(mine), routers_wire.BODY_LIMIT)
+        ]
         head = Head(badge.fleet, badge.name, badge.address, part, parts)
         if badge.key:
             head = msgspec.structs.replace(head, mac=_mac(badge.key, word, head, pieces))
-        out.append(msgpack.packb([rpc.NOTICE, word, [_pack_head(head), *pieces]]))
+        out.append(msgpack.packb([routers_wire.NOTICE, word, [_pack_head(head), *pieces]]))
     return b"".join(out)
 
 
@@ -115,7 +117,7 @@
         return True
 
 
-class Reader(rpc.Reader):
+class Reader(routers_wire.Reader):
     """The messages of one link, however their bytes are cut. `feed` raises `rpc.BadFrame` for what cannot go
     on. `body` is emptied as a message becomes whole, and by `close`."""
 
@@ -140,17 +142,17 @@
 
     def _message(self, frame: Any) -> Any:
         match frame:
-            case [rpc.NOTICE, str(word), [bytes(first), *pieces]] if len(word) <= WORD_MOST and all(
+            case [routers_wire.NOTICE, str(word), [bytes(first), *pieces]] if len(word) <= WORD_MOST and all(
                 isinstance(piece, bytes) for piece in pieces
             ):
                 return self._part(word, first, pieces)
-        raise rpc.BadFrame(f"unknown message {str(frame)[:80]}")
+        raise routers_wire.BadFrame(f"unknown message {str(frame)[:80]}")
 
     def _part(self, word: str, first: bytes, pieces: list[bytes]) -> Whole | None:
         try:
             head = _read_head(first)
         except (msgspec.MsgspecError, ValueError) as error:
-            raise rpc.BadFrame(f"not a head: {error}") from None
+            raise routers_wire.BadFrame(f"not a head: {error}") from None
         if head.fleet != self.badge.fleet:
             raise Foreign("other_fleet", f"of the fleet {head.fleet[:NAME_MOST]!r}")
         if self.badge.key and not compare_digest(head.mac, _mac(self.badge.key, word, head, pieces)):
@@ -158,7 +160,7 @@
         self._fits(word, head)
         more = sum(map(len, pieces))
         if len(self.body) + more > MESSAGE_MOST or not self.pool.take(more):
-            raise rpc.BadFrame("a message that is too long")
+            raise routers_wire.BadFrame("a message that is too long")
         self.body += b"".join(pieces)
         if head.part < head.parts - 1:
             self.head, self.word = head, word
@@ -170,14 +172,14 @@
     def _fits(self, word: str, head: Head) -> None:
         before = self.head
         if not 0 < head.parts <= MESSAGE_MOST // PART + 1 or len(head.name) > NAME_MOST:
-            raise rpc.BadFrame("a head with figures that cannot be")
+            raise routers_wire.BadFrame("a head with figures that cannot be")
         if before is None:
             if head.part != 0:
-                raise rpc.BadFrame("a message without its beginning")
+                raise routers_wire.BadFrame("a message without its beginning")
         elif (self.word, before.name, before.address, before.parts, before.part + 1) != (
             word, head.name, head.address, head.parts, head.part
         ):  # fmt: skip
-            raise rpc.BadFrame("a part that does not follow")
+            raise routers_wire.BadFrame("a part that does not follow")
 
 
 # The body of `WORD`.
@@ -312,11 +314,11 @@
     try:
         made = _decode(body)
     except (msgspec.MsgspecError, ValueError) as error:  # ValueError: text that is not UTF-8
-        raise rpc.BadFrame(f"not a message: {error}") from None
+        raise routers_wire.BadFrame(f"not a message: {error}") from None
     if made.kind not in Kind._value2member_map_:
         return None
     if not (isfinite(made.lived) and made.lived >= 0 and len(made.about) <= NAME_MOST):
-        raise rpc.BadFrame("a message with figures that cannot be")
+        raise routers_wire.BadFrame("a message with figures that cannot be")
     return Message(
         Kind(made.kind), _in(made.me, made.version), made.lived, made.number, made.about,
         tuple(_in(one, made.version) for one in made.said), tuple(_rumours(made.rumours)),
--- a/thymeyoke/moves/__init__.py
+++ b/thymeyoke/migration/__init__.py
@@ -1,1 +1,1 @@
-"""Which tenant should go to which node, and how far it is. docs/moves.md."""
+"""Which tenant should go to which node, and how far it is. docs/migration.md."""
--- a/thymeyoke/moves/section.py
+++ b/thymeyoke/migration/configuration.py
@@ -6,10 +6,10 @@
 
 from msgspec import Meta, Struct
 
-from thymeyoke.members import section as members
-from thymeyoke.moves import consent
-from thymeyoke.moves.loads import Terms
-from thymeyoke.orders import Raw
+from thymeyoke.configuration.service_config import Raw
+from thymeyoke.membership import configuration as members
+from thymeyoke.migration import quorum
+from thymeyoke.migration.load_ranges import Terms
 
 ACTS = ("recommend", "move")
 MINUTE = 60.0  # in which [announce] makes so many `changes`
@@ -38,7 +38,7 @@
         return [
             f"moves: {self.act}, past {self.uneven:g} of the mean, {self.at_once} at once and {self.an_hour} "
             f"an hour, rests {self.rest:g} s, settles {self.settle:g} s; "
-            f"a move takes {consent.longest(self.terms):g} s at most"
+            f"a move takes {quorum.longest(self.terms):g} s at most"
         ]
 
 
@@ -61,7 +61,7 @@
     if "members" in raw.sections:
         found["period"] = members.gather(raw).period
     if "announce" in raw.sections:
-        from thymeyoke.announce.section import gather as announced
+        from thymeyoke.bgp.configuration import gather as announced
 
         told = announced(raw)
         found["rise"] = told.settle + MINUTE / told.changes  # less preferred first; its budget may be spent
--- a/thymeyoke/moves/decide.py
+++ b/thymeyoke/migration/controller.py
@@ -2,8 +2,8 @@
 
 Pure. One `Mover` a node. Call `saw` with each new view, then `settle`; say `part` and `holds` in this node's
 own snapshot. Recommendations are the same at every node that sees the same; only the present holder begins
-one, with consent (`consent.py`), and only where the operators say `act = move`. docs/moves.md has the states
-and rules as tables, and what is promised fault by fault.
+one, with consent (`consent.py`), and only where the operators say `act = move`. docs/migration.md has the
+states and rules as tables, and what is promised fault by fault.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
 
 from msgspec import structs
 
-from thymeyoke.members import view as members
-from thymeyoke.members.view import Member, Trust, View
-from thymeyoke.moves import consent, loads, plan, wire
-from thymeyoke.moves.consent import Known, Said, Voter
-from thymeyoke.moves.loads import Loads, Range, Terms
-from thymeyoke.moves.plan import Advice, Allowed, Plan, Step
-from thymeyoke.moves.wire import Ask, Bad, Can, Hold, Part, Vote
+from thymeyoke.membership import view as members
+from thymeyoke.membership.view import Member, Trust, View
+from thymeyoke.migration import load_ranges, planner, quorum, wire
+from thymeyoke.migration.load_ranges import Loads, Range, Terms
+from thymeyoke.migration.planner import Advice, Allowed, Plan, Step
+from thymeyoke.migration.quorum import Known, Said, Voter
+from thymeyoke.migration.wire import Ask, Bad, Can, Hold, Part, Vote
 
 __all__ = [
     "Action", "Event", "Full", "Less", "Level", "Mover", "Recommendation", "State", "Terms", "Withdrawn",
@@ -197,7 +197,7 @@
         self.said: dict[str, Said] = {}
         self.holders: dict[str, list[Member]] = {}  # of tenants of `can`: others that hold it, and remain
         self.known, self.voter = Known(), Voter(now)
-        self.loads = Loads((), {}, loads.NOTHING, 0.0)
+        self.loads = Loads((), {}, load_ranges.NOTHING, 0.0)
         self.plan, self.plan_at, self.planned = Plan(), -NEVER, -1
         self.records: dict[Key, Record] = {}  # not over: at most one a tenant and node of the plan
         self.history: deque[Record] = deque(maxlen=HISTORY)
@@ -239,7 +239,7 @@
 
     def saw(self, now: float, view: View) -> None:
         self.view = view
-        young, news = self._young(), consent.beginning(self.terms)
+        young, news = self._young(), quorum.beginning(self.terms)
         before, self.met = self.met, {}
         parts, self.said, self.holders = {}, {}, {}
         for member in view.nodes():
@@ -258,8 +258,8 @@
                         place = self.places[tenant]
                         place.doubt = place.doubt or is_new or now < place.born + young
         self.parts = parts
-        longest = max([consent.longest(self.terms), *(one.part.longest for one in self.said.values())])
-        self.known.saw(now, view, consent.MARGIN * longest)
+        longest = max([quorum.longest(self.terms), *(one.part.longest for one in self.said.values())])
+        self.known.saw(now, view, quorum.MARGIN * longest)
         own = view.members.get(self.me)
         life = own.snapshot.incarnation if own else None
         if self.life is not None and life is not None and life != self.life:
@@ -322,7 +322,7 @@
         for place in self.places.values():
             if place.level == Level.LESS:
                 steps += [place.since + BRIEF * settle, place.since + settle]
-            steps.append(place.orphan + consent.beginning(self.terms))
+            steps.append(place.orphan + quorum.beginning(self.terms))
         return min((step for step in steps if step > now), default=NEVER)
 
     def _mine(self) -> list[Record]:
@@ -490,10 +490,10 @@
             return Event.CONSENT, f"{found.text}: {', '.join(found.votes)}"
         return None
 
-    def _consent(self, ask: Ask) -> consent.Consent:
+    def _consent(self, ask: Ask) -> quorum.Consent:
         vote = Vote(ask.slot, self.me, self.life or 0, ask.number)
         given = self.voter.given.values()
-        return consent.count(vote, ask.target, self.me, given, self.known.many, self.said)
+        return quorum.count(vote, ask.target, self.me, given, self.known.many, self.said)
 
     def _late(self, record: Record) -> str:
         assert record.ask is not None
@@ -540,7 +540,7 @@
             if level != place.level:
                 self._set(now, place, level)
         if state == State.BEGUN:
-            record.until = now + consent.beginning(self.terms)
+            record.until = now + quorum.beginning(self.terms)
         elif state == State.SETTLING:
             record.until = NEVER
         elif state in OVER:
@@ -582,7 +582,7 @@
             if found[1] not in kin and now >= place.born + young:
                 if now < self.way_at:
                     continue  # it stays beside the other one, which does no harm
-                self.way_at = now + consent.spacing(self.terms)
+                self.way_at = now + quorum.spacing(self.terms)
             self._give(place, found)
             self._set(now, place, Level.LESS)
             self.bars.pop(tenant, None)
@@ -594,7 +594,7 @@
         """Seconds that a place is young: what a former life of this node gave away may be claimed at any
         time in these, and no move that it asked for begins later. By its own file: a member that tells of
         moves that take for days makes no place young for longer."""
-        return consent.MARGIN * consent.longest(self.terms) + consent.spacing(self.terms)
+        return quorum.MARGIN * quorum.longest(self.terms) + quorum.spacing(self.terms)
 
     def _higher(self, tenant: str, place: Place) -> tuple[int, str, int] | None:
         """Stamp, name and life of the holder that surely has the highest stamp, if it is above this node's
@@ -655,7 +655,7 @@
                 continue
             place.orphan = min(place.orphan, now)
             lost = self._lost(place.gave_to, place.gave_life)
-            if not lost and now < place.orphan + consent.beginning(self.terms):
+            if not lost and now < place.orphan + quorum.beginning(self.terms):
                 continue
             self.counts["moves_taken_back"] += 1
             key = (tenant, self.me, place.gave_to)
@@ -674,9 +674,9 @@
         if now < self.plan_at + span * self.terms.settle:
             return
         self.plan_at, self.planned = now, self.view.version
-        self.loads = loads.read(self.view, self.terms)
+        self.loads = load_ranges.read(self.view, self.terms)
         self._causes(now)
-        self.plan = plan.plan(self.loads, self._allowed(), self.terms)
+        self.plan = planner.plan(self.loads, self._allowed(), self.terms)
         over = any(step.source == self.me for step in self.plan.steps)
         self.over_since = min(self.over_since, now) if over else NEVER
         wanted = {(step.tenant, step.source, step.target): step for step in self.plan.steps}
@@ -742,8 +742,8 @@
             ask = Ask(slot, self.number, step.tenant, step.target, place.home,
                       max(place.stamp, place.seen) + 1, gain=max(0.0, step.gain))  # fmt: skip
             record.ask, record.life, record.target_life = ask, self.life, target.incarnation
-            record.until = now + consent.asking(self.terms)
-            record.ends = now + consent.longest(self.terms)
+            record.until = now + quorum.asking(self.terms)
+            record.ends = now + quorum.longest(self.terms)
             if wire.fits(self._part(now)):
                 place.offered = step.target
             else:
@@ -755,7 +755,7 @@
         """The same view gives each source a slot of its own: by its place among the plan's sources that may
         ask. Who has waited for long asks for any."""
         taken = {ask.slot for name, one in self.said.items() if name != self.me for ask in one.part.asks}
-        free = [slot for slot in self.voter.free(consent.slots(self.terms, self.said)) if slot not in taken]
+        free = [slot for slot in self.voter.free(quorum.slots(self.terms, self.said)) if slot not in taken]
         before: list[str] = []
         for step in self.plan.steps:
             if step.source == self.me:
@@ -781,7 +781,7 @@
         for tenant, bar in list(self.bars.items()):
             theirs, there = self.loads.node(bar.other), self._member(bar.other)
             another = there is not None and there.there and there.snapshot.incarnation != bar.life
-            if now >= bar.since + consent.DAY or (another and now >= bar.since + self.terms.rest):
+            if now >= bar.since + quorum.DAY or (another and now >= bar.since + self.terms.rest):
                 del self.bars[tenant]
             elif mine is None or theirs is None or now < bar.since + self.terms.rest:
                 continue
@@ -803,7 +803,7 @@
         return Part(
             moves=self.terms.moves,
             at_once=self.terms.at_once,
-            longest=consent.longest(self.terms),
+            longest=quorum.longest(self.terms),
             known=self.known.many,
             resting=min(max(0.0, rests - now), 86400.0),
             can=self.bits,
--- a/thymeyoke/moves/loads.py
+++ b/thymeyoke/migration/load_ranges.py
@@ -3,7 +3,7 @@
 Pure. A load is told in connections: half by what is held and half by what is opened a second, times the span
 that a connection lives (Little's law: so many come to be held). Where connections live for longer than a move
 settles, what is held counts for more. Every figure is a range; what is not known is left out and named, never
-taken for zero. docs/moves.md has the rules.
+taken for zero. docs/migration.md has the rules.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from math import ceil, isfinite
 from typing import NamedTuple
 
-from thymeyoke.members.view import Load, Member, Snapshot, State, Trust, View
+from thymeyoke.membership.view import Load, Member, Snapshot, State, Trust, View
 
 LEAST_WEIGHT = 1 / 2  # of a snapshot: below, its figures are not known any more
 HUGE = 1e9  # connections, or opened a second: no process has that; such figures are not believed
@@ -20,7 +20,7 @@
 
 
 class Terms(NamedTuple):
-    """What the operators say; docs/moves.md. Times in seconds."""
+    """What the operators say; docs/migration.md. Times in seconds."""
 
     act: str = "recommend"  # or "move"
     uneven: float = 1.25  # of the fleet's mean
--- a/thymeyoke/moves/plan.py
+++ b/thymeyoke/migration/planner.py
@@ -16,8 +16,8 @@
 from math import ceil
 from typing import NamedTuple
 
-from thymeyoke.moves.loads import NOTHING, Loads, Node, Range, Tenant, Terms, mean
-from thymeyoke.moves.wire import pair
+from thymeyoke.migration.load_ranges import NOTHING, Loads, Node, Range, Tenant, Terms, mean
+from thymeyoke.migration.wire import pair
 
 COLD = 1 / 8  # of a tenant's load: what a move costs, in seats looked up anew and caches that are cold
 STEPS = 2_000  # of the search: some 10 ms
--- a/thymeyoke/moves/shown.py
+++ b/thymeyoke/migration/presentation.py
@@ -7,9 +7,9 @@
 
 from typing import Any
 
-from thymeyoke.moves import consent
-from thymeyoke.moves.decide import Mover, Recommendation
-from thymeyoke.moves.plan import Advice
+from thymeyoke.migration import quorum
+from thymeyoke.migration.controller import Mover, Recommendation
+from thymeyoke.migration.planner import Advice
 
 
 def status(mover: Mover, now: float) -> dict[str, Any]:
@@ -55,7 +55,7 @@
 
 
 def _budget(mover: Mover, now: float) -> dict[str, Any]:
-    voter, many = mover.voter, consent.slots(mover.terms, mover.said)
+    voter, many = mover.voter, quorum.slots(mover.terms, mover.said)
     slots = []
     for slot in range(many):
         one = voter.given.get(slot)
@@ -66,9 +66,9 @@
     return {
         "at_once": many,
         "slots": slots,
-        "spacing": round(consent.spacing(mover.terms), 1),
+        "spacing": round(quorum.spacing(mover.terms), 1),
         "nodes": mover.known.many,
-        "majority": consent.majority(mover.known.many),
+        "majority": quorum.majority(mover.known.many),
         "votes_in": round(max(0.0, voter.abstains_until(mover.terms, mover.said) - now), 1),
         "rests": round(max(0.0, mover.rest_until - now), 1),
         "no_vote": [
--- a/thymeyoke/moves/consent.py
+++ b/thymeyoke/migration/quorum.py
@@ -1,7 +1,8 @@
 """Who may begin a move: numbered slots, votes told in snapshots, a majority of all nodes that are known of.
 
 Pure. Two moves that are on their way in one slot would need two majorities, and any two share a voter; a
-voter gives a slot, and a tenant, to one move at a time. docs/moves.md has the rules, and what they can't do.
+voter gives a slot, and a tenant, to one move at a time. docs/migration.md has the rules, and what they can't
+do.
 """
 
 from __future__ import annotations
@@ -9,9 +10,9 @@
 from collections.abc import Callable, Iterable, Mapping
 from typing import NamedTuple
 
-from thymeyoke.members.view import Member, State, Trust, View
-from thymeyoke.moves.loads import Terms
-from thymeyoke.moves.wire import Ask, Part, Vote
+from thymeyoke.membership.view import Member, State, Trust, View
+from thymeyoke.migration.load_ranges import Terms
+from thymeyoke.migration.wire import Ask, Part, Vote
 
 ASK = 1 / 2  # of `settle`, at least: for so long an ask stands without a majority
 BEGIN = 1 / 2  # of `settle`, at least: for so long the target may take until it says that it holds the tenant
--- a/thymeyoke/moves/wire.py
+++ b/thymeyoke/migration/wire.py
@@ -2,7 +2,7 @@
 
 Pure. MessagePack, at most `PART_MOST` bytes. Newer versions are read as far as they are known: unknown
 fields are passed over. What can't be read is a `Bad`, never an exception. What has no space is left out in
-the order that docs/moves.md tells, and told in a later snapshot.
+the order that docs/migration.md tells, and told in a later snapshot.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from thymeyoke.members.view import NAME_MOST
+from thymeyoke.membership.view import NAME_MOST
 
 VERSION = 1
 PART_MOST = 2048  # bytes
--- a/thymeyoke/node/__init__.py
+++ b/thymeyoke/proxy/__init__.py
@@ -1,1 +1,1 @@
-"""The process at layer four that carries seats and moves out. docs/node.md."""
+"""The process at layer four that carries seats and moves out. docs/proxy.md."""
--- a/thymeyoke/node/levels.py
+++ b/thymeyoke/proxy/advertisement_levels.py
@@ -7,9 +7,9 @@
 
 from collections.abc import Iterable, Mapping
 
-from thymeyoke.announce.decide import Level, Why
-from thymeyoke.announce.section import Prefix
-from thymeyoke.node.section import Service
+from thymeyoke.bgp.configuration import Prefix
+from thymeyoke.bgp.controller import Level, Why
+from thymeyoke.proxy.configuration import Service
 
 
 def caps(
--- a/thymeyoke/node/guests.py
+++ b/thymeyoke/proxy/client_session.py
@@ -20,16 +20,16 @@
 from random import Random
 from typing import NamedTuple
 
-from thymeyoke.affinity.customers import customer
-from thymeyoke.affinity.decide import JOIN, Seat, Seats, Why
-from thymeyoke.net import log
-from thymeyoke.net.clock import clock
-from thymeyoke.node import life, relay
-from thymeyoke.node.admit import WAIT, Table, Waiter
-from thymeyoke.node.connects import Connects, Open
-from thymeyoke.node.figures import Rates
-from thymeyoke.node.life import At, Do, Event
-from thymeyoke.node.service import Service
+from thymeyoke.affinity.clients import customer
+from thymeyoke.affinity.controller import JOIN, Seat, Seats, Why
+from thymeyoke.proxy import relay, session_state
+from thymeyoke.proxy.connection_admission import WAIT, Table, Waiter
+from thymeyoke.proxy.listener import Service
+from thymeyoke.proxy.load import Rates
+from thymeyoke.proxy.session_state import At, Do, Event
+from thymeyoke.proxy.upstream_connector import Connects, Open
+from thymeyoke.runtime import logs
+from thymeyoke.runtime.clock import clock
 
 FOR_ALL = (Why.JOINING, Why.NOBODY)  # why a guest waits for its seat, and so does everybody behind it
 RESET = select.POLLERR | select.POLLHUP
@@ -125,14 +125,14 @@
     def take(self, service: Service, sock: socket.socket, source: str) -> None:
         """A connection, just accepted."""
         now = clock()
-        log.counts["node_accepted"] += 1
+        logs.counts["node_accepted"] += 1
         guest = Guest(next(self.numbered), service, sock, source)
         waiter, pushed = self.table.come(now, service.number, guest)
         if pushed is not None:
             pushed.what.waiter = None
             self._move(now, pushed.what, Event.PUSHED)
         if waiter is None:
-            log.counts["node_turned_away"] += 1
+            logs.counts["node_turned_away"] += 1
             return relay.reset(sock)
         guest.waiter = waiter
         self.every[guest.number] = guest
@@ -177,8 +177,8 @@
             self.poke()
 
     def _unreached(self, now: float, guest: Guest, error: int) -> None:
-        log.counts["node_connect_failed"] += 1
-        log.of_peer("app server not reached", server=guest.server, why=errno.errorcode.get(error, error))
+        logs.counts["node_connect_failed"] += 1
+        logs.of_peer("app server not reached", server=guest.server, why=errno.errorcode.get(error, error))
         self.connects.failed(now, guest.number)
         self._drop_way(guest)
         self._move(now, guest, Event.FAILED)
@@ -193,10 +193,10 @@
     # The life of one connection.
 
     def _move(self, now: float, guest: Guest, event: Event) -> None:
-        before, step = guest.at, life.step(guest.at, event)
+        before, step = guest.at, session_state.step(guest.at, event)
         guest.at = step.at
         if (what := COUNTED.get((before, event))) is not None:
-            log.counts[what] += 1
+            logs.counts[what] += 1
         try:
             for do in step.out:
                 self.does[do](now, guest)
@@ -207,8 +207,8 @@
 
     def _break(self, guest: Guest, error: Exception) -> None:
         """An error that was not foreseen ends this one connection."""
-        log.counts["node_guest_error"] += 1
-        log.say(logging.ERROR, "connection ends", error, at=guest.at.name.lower())
+        logs.counts["node_guest_error"] += 1
+        logs.say(logging.ERROR, "connection ends", error, at=guest.at.name.lower())
         self._end(guest)
 
     def _end(self, guest: Guest) -> None:
@@ -242,7 +242,7 @@
 
     def _seat(self, now: float, guest: Guest, seat: Seat) -> None:
         self.touched = True
-        log.say(logging.DEBUG, "seat", customer=guest.who, server=seat.server, why=seat.why.value)
+        logs.say(logging.DEBUG, "seat", customer=guest.who, server=seat.server, why=seat.why.value)
         if seat.server:  # one that has gone since fails like one that is not reached: the next place is asked
             guest.server = seat.server
             self._move(now, guest, Event.SEATED)
@@ -256,7 +256,7 @@
 
     def _ask_connect(self, now: float, guest: Guest) -> None:
         if not self.connects.ask(now, guest.number, guest.server):
-            log.counts["node_tries_over"] += 1
+            logs.counts["node_tries_over"] += 1
             self._move(now, guest, Event.UNSEATED)
         self.poke()
 
@@ -265,7 +265,7 @@
         self.awake(now)
         self.seats.opened(now, guest.who, guest.server)
         self._touch()
-        log.counts["node_opened"] += 1
+        logs.counts["node_opened"] += 1
         self.rates.opened(guest.service.told.tenant)
         way, guest.way = guest.way, None
         self.relays.begin(guest.sock, way, partial(self._ended, guest))
@@ -368,7 +368,7 @@
         except OSError as failed:
             error = failed.errno or errno.EIO
         if error in OURS:  # no app server is told of it
-            log.counts["node_no_descriptor"] += 1
+            logs.counts["node_no_descriptor"] += 1
             return self._move(now, guest, Event.UNSEATED)
         if error not in (0, errno.EINPROGRESS):
             return self._unreached(now, guest, error)
--- a/thymeyoke/node/commands.py
+++ b/thymeyoke/proxy/commands.py
@@ -31,14 +31,14 @@
     """
     import anyio
 
-    from thymeyoke.net import log
-    from thymeyoke.net.behind import Refused
-    from thymeyoke.node import process
-    from thymeyoke.orders import BadOrders
+    from thymeyoke.configuration.service_config import BadOrders
+    from thymeyoke.proxy import process
+    from thymeyoke.runtime import logs
+    from thymeyoke.runtime.extensions import Refused
 
     try:
         process.read(orders)  # found good before anything is begun
-        log.set_up(log_level, log_form)
+        logs.set_up(log_level, log_form)
         anyio.run(process.serve, partial(process.read, orders))
     except BadOrders as error:
         raise click.ClickException(str(error)) from None
@@ -52,14 +52,14 @@
 
 
 def _found(control_at: Path | None, orders: Path | None) -> dict[str, Any]:
-    from thymeyoke import control
+    from thymeyoke.runtime import status_socket
 
     if control_at is None:
         if orders is None:
             raise click.UsageError(
                 "name the node's socket with --control, or its operators' file with --orders"
             )
-        from thymeyoke.orders import BadOrders, read
+        from thymeyoke.configuration.service_config import BadOrders, read
 
         try:
             section = read(orders).get("node")
@@ -67,10 +67,10 @@
             raise click.ClickException(str(error)) from None
         if section is None:
             raise click.ClickException(f"{orders}: has no [node]; name the file of a node")
-        control_at = control.path(section.control, f"node-{section.name}")
+        control_at = status_socket.path(section.control, f"node-{section.name}")
     try:
-        return control.ask(control_at, "node")
-    except control.Unanswered as error:
+        return status_socket.ask(control_at, "node")
+    except status_socket.Unanswered as error:
         raise click.ClickException(str(error)) from None
 
 
@@ -89,14 +89,14 @@
         return click.echo(orjson.dumps(told, option=orjson.OPT_INDENT_2).decode())
     if not told["moves"]:
         return click.echo(f"{told['name']} has no [moves]: it recommends nothing")
-    from thymeyoke.moves import shown
+    from thymeyoke.migration import presentation
 
     click.echo(f"{told['name']} holds {', '.join(told['holds']) or 'no tenant'}")
-    for line in shown.lines(told):
+    for line in presentation.lines(told):
         click.echo(line)
     if not told["recommendations"]:
         click.echo("no move is recommended")
-    for rows in shown.tables(told):
+    for rows in presentation.tables(told):
         click.echo()
         wide = [max(map(len, column)) for column in zip(*rows, strict=True)]
         for row in rows:
--- a/thymeyoke/node/section.py
+++ b/thymeyoke/proxy/configuration.py
@@ -6,9 +6,9 @@
 
 from msgspec import Meta, Struct
 
-from thymeyoke.members.bounds import HOLDS_MOST
-from thymeyoke.members.view import NAME_MOST
-from thymeyoke.orders import PORT, HostPort, Raw
+from thymeyoke.configuration.service_config import PORT, HostPort, Raw
+from thymeyoke.membership.limits import HOLDS_MOST
+from thymeyoke.membership.view import NAME_MOST
 
 Name = Annotated[str, Meta(min_length=1, max_length=NAME_MOST, description=f"1 to {NAME_MOST} characters")]
 
--- a/thymeyoke/node/admit.py
+++ b/thymeyoke/proxy/connection_admission.py
@@ -1,7 +1,7 @@
 """What a node holds at once, and who is let in next.
 
 Pure. The arithmetic is that of `choice.py`, called: a line for each tenant, the oldest of a tenant within its
-share first; where only tenants over their share wait, the place is lent to the oldest. docs/node.md has the
+share first; where only tenants over their share wait, the place is lent to the oldest. docs/proxy.md has the
 rules as a table.
 """
 
@@ -9,7 +9,7 @@
 
 from typing import Any, NamedTuple
 
-from thymeyoke.choice import SHARE, Hold
+from thymeyoke.admission.controller import SHARE, Hold
 
 SILENT = (
     3.0  # seconds in which a customer says something: twice what an app server waits for its first message
--- a/thymeyoke/node/service.py
+++ b/thymeyoke/proxy/listener.py
@@ -7,9 +7,9 @@
 import socket
 from collections.abc import Callable
 
-from thymeyoke.net import log
-from thymeyoke.net.behind import Refused
-from thymeyoke.node import relay, section
+from thymeyoke.proxy import configuration, relay
+from thymeyoke.runtime import logs
+from thymeyoke.runtime.extensions import Refused
 
 ACCEPTS = 64  # in one turn of the event loop
 ACCEPT_PAUSE = 0.05  # seconds after a failed accept
@@ -19,7 +19,7 @@
     """`number` is the tenant's, at this node. `taken` gets each connection and where it comes from."""
 
     def __init__(
-        self, told: section.Service, number: int, taken: Callable[[Service, socket.socket, str], None]
+        self, told: configuration.Service, number: int, taken: Callable[[Service, socket.socket, str], None]
     ) -> None:
         self.told, self.number, self.taken = told, number, taken
         self.door: socket.socket | None = None
@@ -96,16 +96,16 @@
         except ConnectionAbortedError:
             return True
         except OSError as error:  # no descriptors
-            log.counts["node_accept_failed"] += 1
-            log.of_peer("accept failed", tenant=self.told.tenant, why=error)
+            logs.counts["node_accept_failed"] += 1
+            logs.of_peer("accept failed", tenant=self.told.tenant, why=error)
             self._pause()
             return False
         try:
             accepted.setblocking(False)
             self.taken(self, accepted, source[0])
         except Exception as error:  # one connection's trouble is not the listener's
-            log.counts["node_accept_error"] += 1
-            log.say(logging.ERROR, "connection not taken", error, tenant=self.told.tenant)
+            logs.counts["node_accept_error"] += 1
+            logs.say(logging.ERROR, "connection not taken", error, tenant=self.told.tenant)
             accepted.close()
         return True
 
--- a/thymeyoke/node/figures.py
+++ b/thymeyoke/proxy/load.py
@@ -7,8 +7,8 @@
 from math import exp
 from typing import NamedTuple
 
-from thymeyoke.members.sketch import largest
-from thymeyoke.members.view import Load
+from thymeyoke.membership.load_sketch import largest
+from thymeyoke.membership.view import Load
 
 SPAN = 10.0  # seconds over which connections opened a second are averaged
 FADED = 0.01  # a second: below, and with none held, a tenant is not told any more
--- a/thymeyoke/node/moving.py
+++ b/thymeyoke/proxy/migration_adapter.py
@@ -7,13 +7,13 @@
 from collections.abc import Callable, Iterable
 from typing import TYPE_CHECKING, Any
 
-from thymeyoke.members.bounds import HOLDS_MOST
-from thymeyoke.members.view import View
-from thymeyoke.node.section import Service
+from thymeyoke.membership.limits import HOLDS_MOST
+from thymeyoke.membership.view import View
+from thymeyoke.proxy.configuration import Service
 
 if TYPE_CHECKING:
-    from thymeyoke.moves.decide import Mover
-    from thymeyoke.moves.section import Moves
+    from thymeyoke.migration.configuration import Moves
+    from thymeyoke.migration.controller import Mover
 
 
 class Moving:
@@ -38,7 +38,7 @@
         if told is None:
             self.mover, self.low = None, dict.fromkeys(can - own, "withdrawn")
             return
-        from thymeyoke.moves.decide import Mover
+        from thymeyoke.migration.controller import Mover
 
         terms = told.terms
         if self.mover is None:
@@ -117,7 +117,7 @@
         holds = sorted({*self.holds(), *self.untold})
         told: dict[str, Any] = {"holds": holds, "moves": self.mover is not None}
         if self.mover is not None:
-            from thymeyoke.moves import shown
+            from thymeyoke.migration import presentation
 
-            told |= shown.status(self.mover, now)
+            told |= presentation.status(self.mover, now)
         return told
--- a/thymeyoke/node/process.py
+++ b/thymeyoke/proxy/process.py
@@ -23,24 +23,24 @@
 from anyio.abc import TaskGroup, TaskStatus
 from msgspec import structs
 
-from thymeyoke import control, held, orders
 from thymeyoke.affinity import wire as words
-from thymeyoke.affinity.decide import Handed, Ready, Seats, Tell
-from thymeyoke.members.actor import Fleet, incarnation
-from thymeyoke.members.links import NODE as LINKS
-from thymeyoke.members.section import Members
-from thymeyoke.members.view import Member, Snapshot, State
-from thymeyoke.net import behind, log
-from thymeyoke.net.behind import Refused
-from thymeyoke.net.clock import clock
-from thymeyoke.net.mail import Draining, Event, Probe, Standing
-from thymeyoke.node import relay
-from thymeyoke.node.guests import Guests, Place
-from thymeyoke.node.moving import Moving
-from thymeyoke.node.section import Node as Told
-from thymeyoke.node.service import Service
-from thymeyoke.orders import HostPort, Orders
-from thymeyoke.start import Address, Names
+from thymeyoke.affinity.controller import Handed, Ready, Seats, Tell
+from thymeyoke.configuration import service_config
+from thymeyoke.configuration.service_config import HostPort, Orders
+from thymeyoke.configuration.start_file import Address, Names
+from thymeyoke.membership.configuration import Members
+from thymeyoke.membership.service import Fleet, incarnation
+from thymeyoke.membership.transport import NODE as LINKS
+from thymeyoke.membership.view import Member, Snapshot, State
+from thymeyoke.proxy import relay
+from thymeyoke.proxy.client_session import Guests, Place
+from thymeyoke.proxy.configuration import Node as Told
+from thymeyoke.proxy.listener import Service
+from thymeyoke.proxy.migration_adapter import Moving
+from thymeyoke.runtime import early_signals, extensions, logs, status_socket
+from thymeyoke.runtime.clock import clock
+from thymeyoke.runtime.extensions import Refused
+from thymeyoke.server.messages import Draining, Event, Probe, Standing
 
 LOOK = 0.5  # seconds between figures that are said, at the most
 COUNTS_PERIOD = 10.0
@@ -71,7 +71,7 @@
 
 def read(path: Path) -> Orders:
     """The operators' file of a node, found good for this machine as well: `BadOrders` or `Refused` else."""
-    asked = orders.read(path)
+    asked = service_config.read(path)
     probe(asked)
     return asked
 
@@ -91,7 +91,7 @@
             + f"{most}; "
             + (f"give at most {room}" if room > 0 else "let it have more")
         )
-    behind.probe(_sides(asked))
+    extensions.probe(_sides(asked))
 
 
 def descriptors(told: Told) -> int:
@@ -142,7 +142,7 @@
         now = clock()
         self.poked = anyio.Event()
         self.seats = Seats(now, told.name, told.linger, EXCEPTIONS * told.connections)
-        if log.logger.isEnabledFor(logging.DEBUG):
+        if logs.logger.isEnabledFor(logging.DEBUG):
             self.seats.notes = []
         self.guests = Guests(told.connections, self.seats, Random(seed), self.loop, self.poke, self._awake)
         self.moving = Moving(now, told.name)
@@ -164,14 +164,14 @@
         self.fleet.changed = self._changed
         self.fleet.hear("seats", self._heard)
         desk, self.desk = anyio.create_memory_object_stream[Event](DESK)
-        self.around = behind.Around(seed, desk, told.name, Names({}, {}), Address("", 0))
-        self.sides = behind.build(_sides(asked), self.around)
+        self.around = extensions.Around(seed, desk, told.name, Names({}, {}), Address("", 0))
+        self.sides = extensions.build(_sides(asked), self.around)
 
     # The start.
 
     def open(self) -> None:
         """All that this machine could refuse, before anything is begun; `Refused` with one sentence."""
-        if control.alive(self.control):
+        if status_socket.alive(self.control):
             raise Refused(f"[node] name: another node answers at {self.control}; give each node a name of "
                           f"its own, or its own control")  # fmt: skip
         _listened(self.asked["members"].address)
@@ -181,7 +181,7 @@
 
     @property
     def control(self) -> Path:
-        return control.path(self.told.control, f"node-{self.told.name}")
+        return status_socket.path(self.told.control, f"node-{self.told.name}")
 
     def _limits(self, told: Told) -> None:
         """Descriptors, as many as may be needed: listeners that are there stay until new ones are open."""
@@ -216,7 +216,7 @@
                 service.take_over(before)  # its queue as well, for another tenant perhaps
         for before in old.values():
             before.shut()
-            log.say(logging.INFO, "service ends", tenant=before.told.tenant, address=before.told.address)
+            logs.say(logging.INFO, "service ends", tenant=before.told.tenant, address=before.told.address)
         for service in new.values():
             service.run(self.loop)
         self.services = new
@@ -235,8 +235,8 @@
         try:
             said = words.decode(body)
         except words.BadWord as error:
-            log.counts["node_bad_seats"] += 1
-            return log.of_peer("seats not understood", member=sender, why=error)
+            logs.counts["node_bad_seats"] += 1
+            return logs.of_peer("seats not understood", member=sender, why=error)
         now = clock()
         self._awake(now)
         self.seats.heard(now, sender, said)
@@ -250,7 +250,7 @@
             if isinstance(event, Probe):
                 table = self.guests.table
                 event.asker.tell(Standing(
-                    self.ready, bool(self.guests.places), 0.0, None, log.counts["node_accepted"], 0,
+                    self.ready, bool(self.guests.places), 0.0, None, logs.counts["node_accepted"], 0,
                     table.many, table.most))  # fmt: skip
 
     def status(self) -> dict[str, Any]:
@@ -274,8 +274,8 @@
             try:
                 self._settle(now)
             except Exception as error:
-                log.counts["node_error"] += 1
-                log.say(logging.ERROR, "node goes on", error)
+                logs.counts["node_error"] += 1
+                logs.say(logging.ERROR, "node goes on", error)
                 await anyio.sleep(AGAIN)
 
     @property
@@ -320,7 +320,7 @@
         view = view._replace(
             members={name: one for name, one in known.items() if one.snapshot.node or name in places}
         )
-        log.gauges["node_servers_nowhere"] = len(known) - len(view.members)
+        logs.gauges["node_servers_nowhere"] = len(known) - len(view.members)
         self.seats.saw(now, view)
         self.seats_at = min(self.seats_at, now)
         self.moving.saw(now, view)
@@ -332,20 +332,20 @@
             match action:
                 case Tell(to, body):
                     if not self.fleet.send(to, "seats", words.encode(body)):  # it is told again
-                        log.counts["node_seats_unsent"] += 1
+                        logs.counts["node_seats_unsent"] += 1
                 case Ready(unanswered):
                     self.ready = True
-                    log.say(logging.INFO, "node joined", name=self.told.name, unanswered=unanswered)
+                    logs.say(logging.INFO, "node joined", name=self.told.name, unanswered=unanswered)
                     self._say(now)
                 case Handed(unacked):
                     self.handed = True
-                    log.say(logging.INFO, "seats handed over", name=self.told.name, unacked=unacked)
+                    logs.say(logging.INFO, "seats handed over", name=self.told.name, unacked=unacked)
         for name, many in self.seats.counts.items():
-            log.counts["seats_" + name] += many
+            logs.counts["seats_" + name] += many
         self.seats.counts.clear()
         if self.seats.notes:
             for note in self.seats.notes:
-                log.say(logging.DEBUG, note.what, **note.pairs)
+                logs.say(logging.DEBUG, note.what, **note.pairs)
             self.seats.notes.clear()
         self.guests.touched = False
         self.seats_at = max(now + SEATS_SOON, self.seats.next(now))
@@ -354,8 +354,8 @@
         """What moves want announced."""
         if changed := self.moving.settle(now):
             for tenant, level in changed.items():
-                log.counts["node_levels"] += 1
-                log.say(logging.INFO, "address of a tenant", tenant=tenant, as_=level)
+                logs.counts["node_levels"] += 1
+                logs.say(logging.INFO, "address of a tenant", tenant=tenant, as_=level)
             self._cap()
             self._say(now)
 
@@ -380,23 +380,23 @@
         state = State.LEAVING if self.leaving else State.SERVING if self.ready else State.COLD
         room = 0 if self.leaving or self.moving.full else max(0, table.most - table.many)
         holds, untold = self.moving.holds(), len(self.moving.untold)
-        if untold and not log.gauges.get("node_tenants_untold"):
-            log.say(logging.WARNING, "holds more tenants than it can tell", told=len(holds), untold=untold)
-        log.gauges["node_tenants_untold"] = untold
+        if untold and not logs.gauges.get("node_tenants_untold"):
+            logs.say(logging.WARNING, "holds more tenants than it can tell", told=len(holds), untold=untold)
+        logs.gauges["node_tenants_untold"] = untold
         self.fleet.say(
             state=state, connections=figures.connections, opened=figures.opened, room=room,
             loads=figures.loads, rest=figures.rest, holds=holds, parts=self.moving.parts(now),
         )  # fmt: skip
 
     def tell_counts(self) -> None:
-        log.counts.update(self.moving.counted())
-        log.gauges.update(
+        logs.counts.update(self.moving.counted())
+        logs.gauges.update(
             node_connections=self.guests.table.many, node_waiting=self.guests.table.waiting,
             node_connects_out=len(self.guests.connects.out), node_octets=self.guests.relays.octets,
             node_customers=len(self.seats.open), node_exceptions=len(self.seats.kept),
             node_unshared=self.seats.unshared(), node_rests=len(self.guests.relays.rests),
         )  # fmt: skip
-        log.say(logging.INFO, "counts", **(log.gauges | log.counts))
+        logs.say(logging.INFO, "counts", **(logs.gauges | logs.counts))
 
     # What is announced.
 
@@ -418,9 +418,11 @@
         """The most of each address, which the announcer may still lower by its own rules."""
         for side in self.sides:
             if side.name == "announce":
-                from thymeyoke.node import levels
+                from thymeyoke.proxy import advertisement_levels
 
-                caps = levels.caps(self.asked["announce"].addresses, self.told.services, self.moving.low)
+                caps = advertisement_levels.caps(
+                    self.asked["announce"].addresses, self.told.services, self.moving.low
+                )
                 side.cap(caps)  # type: ignore[attr-defined]
 
     # The file, read anew.
@@ -438,31 +440,31 @@
             self._limits(told)
             services = self._opened(told)
             try:
-                sides, new = behind.reform(self.sides, _sides(asked), self.around)
+                sides, new = extensions.reform(self.sides, _sides(asked), self.around)
             except BaseException:
                 _shut(services)
                 raise
         except Exception as error:
-            log.counts["orders_bad"] += 1
-            return log.say(logging.ERROR, "operators' file not taken", error)
+            logs.counts["orders_bad"] += 1
+            return logs.say(logging.ERROR, "operators' file not taken", error)
         self._members(self.asked["members"], asked)
         self.asked, self.told, self.sides = asked, told, sides
         self._serve(services)
         self.guests.change(told.connections)
-        behind.run(self.tasks, new)
+        extensions.run(self.tasks, new)
         for side in new if self.leaving else ():
             side.tell(Draining(self.door_at))
         self._announce(clock())
         if told.linger != self.seats.linger:
-            log.say(logging.WARNING, "waits for the next start", section="node", option="linger")
-        log.say(logging.INFO, "operators' file read again", services=len(services))
+            logs.say(logging.WARNING, "waits for the next start", section="node", option="linger")
+        logs.say(logging.INFO, "operators' file read again", services=len(services))
         self.poke()
 
     def _members(self, old: Members, asked: Orders) -> None:
         new: Members = asked["members"]
         if (old.address, old.advertise, old.fleet) != (new.address, new.advertise, new.fleet):
             asked["members"] = old
-            log.say(logging.WARNING, "waits for the next start", section="members")
+            logs.say(logging.WARNING, "waits for the next start", section="members")
         elif old != new:
             self.fleet.reform(new)
 
@@ -481,7 +483,7 @@
         self._awake(now)
         self.door_at = now + max(DOOR_LEAST, DOOR_PART * self.told.linger)
         self.end_at = self.door_at + max(STAY_LEAST, self.told.linger)
-        log.say(logging.INFO, "leaving", name=self.told.name, connections=self.guests.table.many)
+        logs.say(logging.INFO, "leaving", name=self.told.name, connections=self.guests.table.many)
         for side in self.sides:
             side.tell(Draining(self.door_at))
         self.seats.leave(now)
@@ -510,7 +512,7 @@
     node = Node(again(), SystemRandom().getrandbits(64) if seed is None else seed)
     try:
         node.open()
-        log.say(
+        logs.say(
             logging.INFO, "node listens", name=node.told.name, seed=node.seed, services=len(node.services)
         )
         gc.set_threshold(*GARBAGE)
@@ -518,11 +520,11 @@
         gc.freeze()
         async with anyio.create_task_group() as node.tasks:
             ended = anyio.Event()
-            behind.run(
+            extensions.run(
                 node.tasks, (Side("members", partial(_member, node, ended)), Side("node_desk", node.answer))
             )
-            behind.run(node.tasks, node.sides)
-            node.tasks.start_soon(control.serve, node.control, "moves", node.status)
+            extensions.run(node.tasks, node.sides)
+            node.tasks.start_soon(status_socket.serve, node.control, "moves", node.status)
             await node.tasks.start(_signals, node, again)
             task_status.started(node)
             await node.run()
@@ -535,7 +537,7 @@
     node.tell_counts()
     if node.refused:
         raise Refused(node.refused)
-    log.say(logging.INFO, "left", name=node.told.name)
+    logs.say(logging.INFO, "left", name=node.told.name)
 
 
 async def _member(node: Node, ended: anyio.Event) -> None:
@@ -548,7 +550,7 @@
 ) -> None:
     """SIGTERM is the notice to leave, SIGHUP asks to read the file again, during a drain as well."""
     with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals:
-        if held.let_go() is not None:
+        if early_signals.let_go() is not None:
             node.leave()
         task_status.started()
         try:
@@ -558,4 +560,4 @@
                 else:
                     node.leave()
         finally:
-            held.hold_again()
+            early_signals.hold_again()
--- a/thymeyoke/node/relay.py
+++ b/thymeyoke/proxy/relay.py
@@ -20,8 +20,8 @@
 from fcntl import ioctl
 from termios import TIOCOUTQ
 
-from thymeyoke.net import log
-from thymeyoke.net.clock import clock
+from thymeyoke.runtime import logs
+from thymeyoke.runtime.clock import clock
 
 WINDOW = 1 << 14  # octets of a read, and the most that is kept each way
 KERNEL = 1 << 16  # octets asked of the machine for what is unread and unsent; Linux doubles it for its own
@@ -228,8 +228,8 @@
 
     def broken(self, error: Exception) -> None:
         """An error that was not foreseen ends this one relay."""
-        log.counts["node_relay_error"] += 1
-        log.say(logging.ERROR, "relay ends", error)
+        logs.counts["node_relay_error"] += 1
+        logs.say(logging.ERROR, "relay ends", error)
         self.end(True)
 
 
@@ -271,11 +271,11 @@
             self.rests = dict.fromkeys(self.rests, now)
         for way, since in list(self.blocked.items()):
             if now >= since + STALL:
-                log.counts["node_stalled"] += 1
+                logs.counts["node_stalled"] += 1
                 way.relay.end(True)
         for relay, since in list(self.halved.items()):
             if now >= since + HALF and relay in self.every:
-                log.counts["node_half_open"] += 1
+                logs.counts["node_half_open"] += 1
                 relay.end(False)
         for way, since in list(self.rests.items()):
             if now >= since + REST or way.dropped >= UNHEARD:
@@ -304,7 +304,7 @@
         self.loop.remove_reader(way.source.fileno())
         if not late:
             return way.source.close()
-        log.counts["node_rest_late"] += 1
+        logs.counts["node_rest_late"] += 1
         reset(way.source)
 
     def close(self) -> None:
--- a/thymeyoke/node/life.py
+++ b/thymeyoke/proxy/session_state.py
@@ -1,6 +1,6 @@
 """The life of one customer's connection at a node, as a table: where it is, what happens, what goes out.
 
-Pure. docs/node.md has the same table in words, and a test reads it from there. What is not in the table
+Pure. docs/proxy.md has the same table in words, and a test reads it from there. What is not in the table
 changes nothing: late news of a connection that is further on, or gone.
 """
 
--- a/thymeyoke/node/connects.py
+++ b/thymeyoke/proxy/upstream_connector.py
@@ -3,7 +3,7 @@
 Pure. A node spares the app servers: so many connects at once to one of them and no more, a window that grows
 by one a window's worth of good ones and halves with a slow or failed one, a pause with full jitter after a
 failed one, so many tries a customer's connection. What has passed an octet is no connect any more, and is
-never tried again. docs/node.md has the rules as a table.
+never tried again. docs/proxy.md has the rules as a table.
 """
 
 from __future__ import annotations
--- /dev/null
+++ b/thymeyoke/runtime/__init__.py
@@ -0,0 +1,1 @@
+"""What every program of this project stands on: logs, clock, mailboxes, framing, extensions."""
--- a/thymeyoke/net/behind.py
+++ b/thymeyoke/runtime/extensions.py
@@ -16,16 +16,16 @@
 from anyio.abc import TaskGroup
 from anyio.streams.memory import MemoryObjectSendStream
 
-from thymeyoke.net import log
-from thymeyoke.net.clock import clock
-from thymeyoke.net.mail import Draining, Event, Over, Reformed, Standing
-from thymeyoke.start import Address, Names
+from thymeyoke.configuration.start_file import Address, Names
+from thymeyoke.runtime import logs
+from thymeyoke.runtime.clock import clock
+from thymeyoke.server.messages import Draining, Event, Over, Reformed, Standing
 
 # Each has `probe(section)` and `build(section, around)`.
 MAKERS = {
-    "announce": "thymeyoke.announce.announcer",
-    "ledger": "thymeyoke.ledger.keeper",
-    "members": "thymeyoke.members.behind",
+    "announce": "thymeyoke.bgp.advertiser",
+    "ledger": "thymeyoke.ledger.usage_recorder",
+    "members": "thymeyoke.membership.extension",
 }
 
 Orders = dict[str, Any]  # by section, what its module made of it
@@ -105,8 +105,8 @@
         try:
             return await side.run()
         except Exception as error:
-            log.counts[f"{side.name}_error"] += 1
-            log.say(logging.ERROR, "subsystem starts again", error, name=side.name)
+            logs.counts[f"{side.name}_error"] += 1
+            logs.say(logging.ERROR, "subsystem starts again", error, name=side.name)
             pause = AGAIN if clock() > began + CALM else min(AGAIN_TOP, 2 * pause)
             await anyio.sleep(pause)
             began = clock()
--- /dev/null
+++ b/thymeyoke/runtime/mailbox.py
@@ -0,0 +1,30 @@
+"""Bounded mailboxes between actors: in-memory streams of anyio."""
+
+from __future__ import annotations
+
+from contextlib import suppress
+from typing import TypeVar
+
+import anyio
+from anyio.streams.memory import MemoryObjectReceiveStream, MemoryObjectSendStream
+
+Item = TypeVar("Item")
+
+
+def take_all(mailbox: MemoryObjectReceiveStream[Item]) -> list[Item]:
+    """Take all items that are in a mailbox now, without waiting."""
+    return [mailbox.receive_nowait() for _ in range(mailbox.statistics().current_buffer_used)]
+
+
+async def post(mailbox: MemoryObjectSendStream[Item], item: Item) -> None:
+    """Put an item into a mailbox, unless its reader has ended; wait only while the mailbox is full.
+
+    The wait is shielded: what a peer has reported counts as read, and nothing would report it again if the
+    peer's task were cancelled meanwhile.
+    """
+    with suppress(anyio.BrokenResourceError, anyio.ClosedResourceError):
+        try:
+            mailbox.send_nowait(item)
+        except anyio.WouldBlock:
+            with anyio.CancelScope(shield=True):
+                await mailbox.send(item)
--- a/thymeyoke/control.py
+++ b/thymeyoke/runtime/status_socket.py
@@ -18,7 +18,7 @@
 import orjson
 from anyio.abc import SocketStream
 
-from thymeyoke.net import log
+from thymeyoke.runtime import logs
 
 AT_ONCE = 4  # questions; the next ones are closed unanswered
 WITHIN = 1.0  # seconds that one may take
@@ -41,8 +41,8 @@
                 where.unlink()
         listener = await anyio.create_unix_listener(where, mode=0o600)
     except OSError as error:
-        log.counts[f"{name}_control_failed"] += 1
-        return log.say(logging.ERROR, f"no socket for {name} show", error, path=where)
+        logs.counts[f"{name}_control_failed"] += 1
+        return logs.say(logging.ERROR, f"no socket for {name} show", error, path=where)
     busy = 0
 
     async def answer(stream: SocketStream) -> None:
--- a/thymeyoke/net/database.py
+++ b/thymeyoke/server/dependency.py
@@ -19,13 +19,14 @@
 from anyio.abc import ByteStream, TaskGroup
 from anyio.streams.memory import MemoryObjectSendStream
 
-from thymeyoke.coldstart.decide import ColdStart
-from thymeyoke.coldstart.waits import Waits
-from thymeyoke.net import log
-from thymeyoke.net.clock import clock
-from thymeyoke.net.mail import Call, CallOver, Event, GiveUp, Move, post, waiting
-from thymeyoke.port.facts import Outcome
-from thymeyoke.start import Address
+from thymeyoke.admission.settings import Outcome
+from thymeyoke.configuration.start_file import Address
+from thymeyoke.runtime import logs
+from thymeyoke.runtime.clock import clock
+from thymeyoke.runtime.mailbox import post, take_all
+from thymeyoke.server.messages import Call, CallOver, Event, GiveUp, Move
+from thymeyoke.slow_start.backoff import Waits
+from thymeyoke.slow_start.controller import ColdStart
 
 ENDS = {"ROWS": Outcome.OK, "FULL": Outcome.FULL, "FAIL": Outcome.ERROR, "TIMEOUT": Outcome.TIMEOUT,
         "NONE": Outcome.MOOT}  # fmt: skip
@@ -162,12 +163,12 @@
                     tasks.start_soon(self._write, stream)
                     await self._read(stream)
         except (OSError, TimeoutError):
-            log.counts["database_unreached"] += 1
+            logs.counts["database_unreached"] += 1
         except Exception as error:
-            log.counts["database_error"] += 1
-            log.say(logging.ERROR, "database connection ends", error)
+            logs.counts["database_error"] += 1
+            logs.say(logging.ERROR, "database connection ends", error)
         finally:
-            unsent = {what.id for what in waiting(self.unsent)}
+            unsent = {what.id for what in take_all(self.unsent)}
             self.outbox.close()
             self.unsent.close()
             if stream:
@@ -176,14 +177,14 @@
 
     async def _lost(self, sent: bool, unsent: set[str]) -> None:
         """A connection that breaks during a call proves nothing about it, but for what was never sent."""
-        log.counts["database_cut"] += bool(self.out) and sent
+        logs.counts["database_cut"] += bool(self.out) and sent
         for id in list(self.out):
             await self._over(id, Outcome.CUT if sent and id not in unsent else Outcome.UNREACHED)
 
     async def _write(self, stream: ByteStream) -> None:
         try:
             async for first in self.unsent:
-                batch = [first, *waiting(self.unsent)]
+                batch = [first, *take_all(self.unsent)]
                 now = clock()
                 await stream.send(b"".join(encode(what, now) for what in batch))
         except (anyio.BrokenResourceError, anyio.ClosedResourceError):
@@ -199,14 +200,14 @@
         except (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError):
             pass
         except BadReply as error:
-            log.counts["database_bad_reply"] += 1
-            log.of_peer("database connection dropped", why=str(error))
+            logs.counts["database_bad_reply"] += 1
+            logs.of_peer("database connection dropped", why=str(error))
         self.end()
 
     async def _over(self, id: str, outcome: Outcome, body: bytes = b"") -> None:
         out = self.out.pop(id, None)
         if out is None:  # to a call given up, a second copy, or nobody's
-            log.counts["database_foreign_reply"] += 1
+            logs.counts["database_foreign_reply"] += 1
             return
         self.used = clock()
         await self.over(CallOver(id, outcome, body, self.used - out.since))
@@ -236,14 +237,14 @@
             self.where = what.where
             self.pace.moved(clock())
         elif self.where is None and isinstance(what, Call):
-            log.counts["database_none"] += 1
+            logs.counts["database_none"] += 1
             return False
         try:
             self.outbox.send_nowait(what)
         except anyio.WouldBlock:
             if isinstance(what, Move):  # it is awake, and finds the new address
                 return True
-            log.counts["database_outbox_full"] += 1
+            logs.counts["database_outbox_full"] += 1
             return False
         return True
 
@@ -257,7 +258,7 @@
                 now = clock()
                 self.cold.stalled(now, now - planned)
                 self._stood(now)
-                for each in [what, *waiting(self.unsent)] if what else []:
+                for each in [what, *take_all(self.unsent)] if what else []:
                     await self._make(tasks, now, each)
                 await self._let_out(tasks, now)
                 await self._pass(now)
@@ -292,7 +293,7 @@
             return await self._send(tasks, now, what)
         if not self.waits.add(now, what.id, what, repeat, what.until):
             return await self._never_ran(what.id, "calls_turned_away")
-        log.counts["calls_waited"] += not self.pace.has(now)
+        logs.counts["calls_waited"] += not self.pace.has(now)
         heappush(self.ends, (what.until, what.id))
 
     async def _let_out(self, tasks: TaskGroup, now: float) -> None:
@@ -309,7 +310,7 @@
                 await self._never_ran(one.id, "database_none")
 
     async def _never_ran(self, id: str, why: str) -> None:
-        log.counts[why] += 1
+        logs.counts[why] += 1
         await self._back(CallOver(id, Outcome.UNREACHED, b"", 0.0))
 
     async def _send(self, tasks: TaskGroup, now: float, what: Call) -> None:
--- a/thymeyoke/net/desk.py
+++ b/thymeyoke/server/dispatcher.py
@@ -14,15 +14,20 @@
 
 import anyio
 
-from thymeyoke.choice import Choice
-from thymeyoke.net import log
-from thymeyoke.net.behind import Behind, Ear
-from thymeyoke.net.clock import clock
-from thymeyoke.net.database import Database
-from thymeyoke.net.front import Front
-from thymeyoke.net.invariants import holds
-from thymeyoke.net.keys import Key, Keys, Result
-from thymeyoke.net.mail import (
+from thymeyoke.admission import actions as act
+from thymeyoke.admission import settings
+from thymeyoke.admission.controller import Choice
+from thymeyoke.admission.settings import Outcome, Repeat
+from thymeyoke.runtime import logs
+from thymeyoke.runtime.clock import clock
+from thymeyoke.runtime.extensions import Behind, Ear
+from thymeyoke.runtime.invariants import holds
+from thymeyoke.runtime.mailbox import take_all
+from thymeyoke.server.dependency import Database
+from thymeyoke.server.endpoint_registry import Roster
+from thymeyoke.server.idempotency import Key, Keys, Result
+from thymeyoke.server.listener import Front
+from thymeyoke.server.messages import (
     NOT_TOLD,
     Answer,
     Arrived,
@@ -59,13 +64,8 @@
     Up,
     Verdict,
     Without,
-    waiting,
 )
-from thymeyoke.net.processor import Processor
-from thymeyoke.net.roster import Roster
-from thymeyoke.port import actions as act
-from thymeyoke.port import facts
-from thymeyoke.port.facts import Outcome, Repeat
+from thymeyoke.server.processor import Processor
 
 INBOX = 4096
 GAUGE_LEAD = 0.02  # gauges are asked for this long before the module wakes: its timers never wait for them
@@ -125,8 +125,8 @@
     def __init__(self, stop: float, given: dict[str, Any], results_limit: float = math.inf) -> None:
         """`results_limit`: the bytes that retained results may take of this process's own memory."""
         self.stop, self.given = stop, given
-        self.kinds: tuple[facts.OpType, ...] = given["op_types"]
-        duty: facts.Duty = given["duty"]
+        self.kinds: tuple[settings.OpType, ...] = given["op_types"]
+        duty: settings.Duty = given["duty"]
         # A notice is heard late, as all else is: by up to the slack that the settings leave an answer. What
         # reached the machine behind the true end of the grace must not be run: ours ends sooner by as much.
         self.duty = duty._replace(drain_grace=max(0.0, duty.drain_grace - duty.answer_slack))
@@ -176,7 +176,7 @@
                 # A turn for each event costs several times what the event does: in a crowd they gather for as
                 # long as the module is told that batches lie apart. With few events nothing waits.
                 await anyio.sleep(self.tick)
-                batch += waiting(self.events)
+                batch += take_all(self.events)
             self._turn(clock(), batch)
 
     def _turn(self, now: float, batch: list[Event]) -> None:
@@ -193,16 +193,16 @@
             self.tell_counts()
 
     def tell_counts(self) -> None:
-        pairs = log.gauges | log.counts
-        log.say(logging.INFO, "counts", in_hand=len(self.slips), kept=len(self.keys.by_id), **pairs)
+        pairs = logs.gauges | logs.counts
+        logs.say(logging.INFO, "counts", in_hand=len(self.slips), kept=len(self.keys.by_id), **pairs)
 
     async def _collect(self) -> list[Event]:
         """Wait for an event or the next moment, then take all that is there."""
-        if batch := waiting(self.events):
+        if batch := take_all(self.events):
             return batch
         with anyio.move_on_after(max(0.0, self._next_moment() - clock())):
             batch.append(await self.events.receive())
-        return batch + waiting(self.events)
+        return batch + take_all(self.events)
 
     def _next_moment(self) -> float:
         """When to look again, whatever is heard until then."""
@@ -221,9 +221,9 @@
         try:
             return what(*given)
         except Exception as error:
-            log.counts["desk_error"] += 1
-            log.say(logging.ERROR, "desk error", error)
-            holds(False, "no_desk_error", place=log.place(error))
+            logs.counts["desk_error"] += 1
+            logs.say(logging.ERROR, "desk error", error)
+            holds(False, "no_desk_error", place=logs.place(error))
             return None
 
     # What is heard.
@@ -267,28 +267,28 @@
             survival = self.given["survival"]._replace(cold=cold)
             self.warm_at = now - age + survival.cold_span if cold else 0.0
             self.yoke = Choice(now=now - age, **{**self.given, "survival": survival, "duty": self.duty})
-            log.say(logging.INFO, "up", cold=cold, age=age)
+            logs.say(logging.INFO, "up", cold=cold, age=age)
             if self.plan:  # the notice came first: without it, all would be run whenever it reached us
                 self._leave_to_policy(self.yoke, self.plan)
 
     def _standing(self) -> Standing:
         busy = self.gauges[self.busy_at] if self.gauges and self.busy_at is not None else None
         return Standing(
-            self.yoke is not None, self.link > 0, self.warm_at, busy, log.counts["ops"],
-            log.counts[Verdict.NACK.value], len(self.front.connections), self.front.most)  # fmt: skip
+            self.yoke is not None, self.link > 0, self.warm_at, busy, logs.counts["ops"],
+            logs.counts[Verdict.NACK.value], len(self.front.connections), self.front.most)  # fmt: skip
 
     def _arrived(self, now: float, event: Arrived) -> None:
         asker, number, order = event
         if self.yoke is None or order.id in self.slips:
-            log.counts["unexpected_ops"] += 1
+            logs.counts["unexpected_ops"] += 1
             return asker.tell(Answer(number, Verdict.NACK, value=self.value))
         if order.id in self.keys.by_id:
             # No router uses an id twice. Taken, it would stand for the retained op of that id, and its end
             # would drop that op's key: the next try would run once more.
-            log.counts["unexpected_ops"] += 1
+            logs.counts["unexpected_ops"] += 1
             return asker.tell(Answer(number, Verdict.FAIL, value=self.value))
         if self.ears and not all(ear.takes() for ear in self.ears):
-            log.counts["refused_by_ledger"] += 1
+            logs.counts["refused_by_ledger"] += 1
             wait = self.given["callers"].max_wait
             return asker.tell(Answer(number, Verdict.NACK, value=self.value, wait=wait))
         kind = self.kinds[order.type]
@@ -299,14 +299,14 @@
         first = self._first_try(key, min(order.since, now)) if key else None
         if first and order.key and not self._same_body(first, order):
             # All tries of one op carry the same body: this is none of it, and gets nothing of its result.
-            log.counts["other_body"] += 1
+            logs.counts["other_body"] += 1
             return asker.tell(Answer(number, Verdict.FAIL, value=self.value))
         slip = self.slips[order.id] = Slip(asker, number, order, key, kind.timeout)
         self.unanswered += 1
-        log.counts["ops"] += 1
+        logs.counts["ops"] += 1
         heappush(self.dues, (max(now, slip.due) + self.duty.answer_slack, order.id))
         slip.repeats = first
-        self.yoke.take(now, facts.Op(
+        self.yoke.take(now, settings.Op(
             id=order.id, type=order.type, tenant=order.tenant, size=order.size, subject=order.subject,
             hint=order.work, further=order.further, write=kind.repeat is not Repeat.RETRYABLE,
             repeats=slip.repeats, prio=order.prio, caller=order.caller,
@@ -314,7 +314,7 @@
             unread=max(0.0, now - order.since)))  # fmt: skip
         if key:
             self.fresh_keys[key] = self._runs_for(first, order.id)
-        log.say(logging.DEBUG, "op", id=slip.order.id, type=order.type, left=slip.due - now)
+        logs.say(logging.DEBUG, "op", id=slip.order.id, type=order.type, left=slip.due - now)
 
     def _first_try(self, key: Key, reached: float) -> str | None:
         """The retained request that a try of this key repeats, or the one that came in this batch."""
@@ -338,7 +338,7 @@
         slip = self.slips.get(id)
         if slip is None or slip.asker is not asker or slip.answered or self.yoke is None:
             return
-        log.counts["gone"] += 1
+        logs.counts["gone"] += 1
         self._close(slip)
         if slip.key and self.fresh_keys.get(slip.key) == id:
             del self.fresh_keys[slip.key]
@@ -348,14 +348,14 @@
         id, outcome, body, lasted = event
         slip = self.slips.get(id)
         if slip is None or self.yoke is None:
-            log.counts["ended_unknown"] += 1
+            logs.counts["ended_unknown"] += 1
             return
         slip.run = max(slip.run, lasted)  # told anew with each stop and end
         slip.command = None
         if outcome is Outcome.STOPPED and slip.paused and not slip.answered:  # its answer is still owed
             return self._guarded(self.yoke.ended, now, id, outcome)
         slip.over = True
-        log.counts["run_" + outcome.value] += 1
+        logs.counts["run_" + outcome.value] += 1
         if not slip.answered:
             self._answer(slip, Verdict.ACK if outcome is Outcome.OK else Verdict.FAIL, body)
         self._drop(slip)
@@ -371,7 +371,7 @@
             if slip is None or slip.answered or slip.repeats != of or self.yoke is None:
                 continue
             ok = result.body is not None
-            log.counts["repeats"] += 1
+            logs.counts["repeats"] += 1
             self._answer(slip, Verdict.ACK if ok else Verdict.FAIL, result.body or b"")
             self._guarded(self.yoke.ended, now, id, Outcome.OK if ok else Outcome.ERROR)
 
@@ -380,7 +380,7 @@
         if slip is None or not slip.calling or self.yoke is None:
             return
         slip.calling = False
-        log.counts["call_" + event.outcome.value] += 1
+        logs.counts["call_" + event.outcome.value] += 1
         if event.outcome is Outcome.OK:
             self._command(slip, Reply(event.id, event.body))
         self.yoke.called(now, event.id, event.outcome, event.took)
@@ -391,8 +391,8 @@
 
         Of a `begin` that went out on two links it is not proven that it never ran, and its key is kept: its
         tries fail. Left as it was, nothing ever ended it, and it held its core for good."""
-        log.counts["refused_commands"] += 1
-        log.of_peer("command not carried out", id=id, command=command and command.__name__)
+        logs.counts["refused_commands"] += 1
+        logs.of_peer("command not carried out", id=id, command=command and command.__name__)
         slip = self.slips.get(id)
         if slip and isinstance(slip.command, Begin) and command is Begin:
             self._ended(now, Ended(id, Outcome.MOOT, b""))
@@ -404,7 +404,7 @@
         if self.plan:
             return
         self.plan = plan_drain(at, self.stop, self.duty.drain_grace)
-        log.say(logging.INFO, "leaving", left=self.stop, in_hand=len(self.slips), heard=now - at)
+        logs.say(logging.INFO, "leaving", left=self.stop, in_hand=len(self.slips), heard=now - at)
         # Routers hear of it seconds later, and the module takes what comes within the grace: with the door
         # shut at once that was missing, while those who took over were still cold.
         self.close_at = self.plan.door
@@ -508,7 +508,7 @@
             case act.Wake():
                 self._wake(now, action)
             case act.Note(text):
-                log.say(logging.INFO, "note", text=text)
+                logs.say(logging.INFO, "note", text=text)
             case _:
                 slip = self.slips.get(action.id)
                 if slip is None:
@@ -574,7 +574,7 @@
             return
         slip.verdict = verdict
         answer = Answer(slip.number, verdict, body, self.value, **more)
-        log.counts[verdict.value] += 1
+        logs.counts[verdict.value] += 1
         if self.ears and (slip.over or not slip.begun):  # this is its end, and its use is known
             self._tell_ears(slip, len(body), answer)
         else:
--- a/thymeyoke/net/roster.py
+++ b/thymeyoke/server/endpoint_registry.py
@@ -14,12 +14,12 @@
 import orjson
 from anyio.abc import ByteStream
 
-from thymeyoke.coldstart.beat import PATIENCE, SPAN
-from thymeyoke.coldstart.decide import ColdStart
-from thymeyoke.net import log
-from thymeyoke.net.clock import clock
-from thymeyoke.net.mail import Move, Report
-from thymeyoke.start import Address
+from thymeyoke.configuration.start_file import Address
+from thymeyoke.runtime import logs
+from thymeyoke.runtime.clock import clock
+from thymeyoke.server.messages import Move, Report
+from thymeyoke.slow_start.controller import ColdStart
+from thymeyoke.slow_start.heartbeat import PATIENCE, SPAN
 
 PERIOD = SPAN  # seconds between reports
 TIMEOUT = PATIENCE
@@ -62,7 +62,7 @@
         try:
             self.outbox.send_nowait(what)
         except anyio.WouldBlock:
-            log.counts["roster_outbox_full"] += 1
+            logs.counts["roster_outbox_full"] += 1
 
     async def run(self) -> None:
         try:
@@ -89,20 +89,20 @@
         try:
             with anyio.fail_after(given_up - now):
                 await self._report()
-            log.counts["reports"] += 1
+            logs.counts["reports"] += 1
             self.cold.listed(clock())
         except (OSError, TimeoutError, anyio.EndOfStream, anyio.BrokenResourceError,
                 anyio.ClosedResourceError, h11.ProtocolError, BadReport) as error:  # fmt: skip
-            if log.counts["reports_failed"] == 0:
-                log.say(logging.WARNING, "report failed", error)
-            log.counts["reports_failed"] += 1
+            if logs.counts["reports_failed"] == 0:
+                logs.say(logging.WARNING, "report failed", error)
+            logs.counts["reports_failed"] += 1
             self.cold.unheard(clock())
             await self._close()
 
     def _tell_state(self) -> None:
         if self.said is not self.cold.state:
             self.said = self.cold.state
-            log.say(logging.INFO, "cold start", state=self.said.value)
+            logs.say(logging.INFO, "cold start", state=self.said.value)
 
     def _heard(self, what: Report | Move) -> None:
         """What is new is said at once: whether it is fit, or where it is said."""
--- a/thymeyoke/net/keys.py
+++ b/thymeyoke/server/idempotency.py
@@ -6,7 +6,7 @@
 from collections import OrderedDict
 from typing import Any, NamedTuple
 
-from thymeyoke.net import log
+from thymeyoke.runtime import logs
 
 Key = tuple[int, str]  # an op type and what marks its repeats
 
@@ -93,7 +93,7 @@
             self.with_body[id] = None
             self.bytes += len(result.body)
         while self.bytes > self.most_bytes:
-            log.counts["results_dropped"] += 1
+            logs.counts["results_dropped"] += 1
             self._drop_body(self.by_id[next(iter(self.with_body))])
         return waiting
 
--- a/thymeyoke/net/server.py
+++ b/thymeyoke/server/lifecycle.py
@@ -14,18 +14,18 @@
 import anyio
 from anyio.abc import TaskStatus
 
-from thymeyoke import held
-from thymeyoke.coldstart.decide import ColdStart
-from thymeyoke.coldstart.pace import terms
-from thymeyoke.net import behind, log
-from thymeyoke.net.clock import clock
-from thymeyoke.net.database import Database
-from thymeyoke.net.desk import Desk
-from thymeyoke.net.front import Front
-from thymeyoke.net.mail import Leave, Move, post
-from thymeyoke.net.processor import Processor
-from thymeyoke.net.roster import Roster
-from thymeyoke.start import Address, BadStart, Names, Station
+from thymeyoke.configuration.start_file import Address, BadStart, Names, Station
+from thymeyoke.runtime import early_signals, extensions, logs
+from thymeyoke.runtime.clock import clock
+from thymeyoke.runtime.mailbox import post
+from thymeyoke.server.dependency import Database
+from thymeyoke.server.dispatcher import Desk
+from thymeyoke.server.endpoint_registry import Roster
+from thymeyoke.server.listener import Front
+from thymeyoke.server.messages import Leave, Move
+from thymeyoke.server.processor import Processor
+from thymeyoke.slow_start.controller import ColdStart
+from thymeyoke.slow_start.rate_limiter import terms
 
 GARBAGE = (10000, 10, 10)  # ops leave next to no cycles behind: looking for them cost more than it freed
 RESULTS_SHARE = 1 / 4  # of the process's memory: what retained results may take, beside all else in it
@@ -40,20 +40,20 @@
 
 async def serve(
     station: Station, names: Names, given: dict[str, Any], again: Callable[[], Station],
-    orders: Callable[[], behind.Orders] = dict,
+    orders: Callable[[], extensions.Orders] = dict,
     *, task_status: TaskStatus[Address] = anyio.TASK_STATUS_IGNORED,
 ) -> None:  # fmt: skip
     """`again` and `orders` read the start file and the operators' file, at the start and on SIGHUP."""
     desk = Desk(station.stop, given, RESULTS_SHARE * station.memory)
     front = Front(names, station.descriptors, given["callers"].idle, desk.inbox)
-    cold = ColdStart(clock(), given["seed"], station.name, terms(given), held.since())
+    cold = ColdStart(clock(), given["seed"], station.name, terms(given), early_signals.since())
     processor = Processor(station.processor, names, desk.inbox, cold)
     database = Database(station.database, desk.inbox, cold)
     roster = Roster(station.roster, station.name, cold)
     desk.meet(front, processor, database, roster)
 
-    around = behind.Around(given["seed"], desk.inbox, station.name, names, station.listen)
-    desk.stands(behind.build(orders(), around))
+    around = extensions.Around(given["seed"], desk.inbox, station.name, names, station.listen)
+    desk.stands(extensions.build(orders(), around))
 
     latest = station  # the last one that was taken
 
@@ -63,8 +63,8 @@
         try:
             new = again()
         except Exception as error:  # whatever is wrong with it, what was read before still holds, whole
-            log.counts["start_file_bad"] += 1
-            return log.say(logging.ERROR, "start file not taken", error)
+            logs.counts["start_file_bad"] += 1
+            return logs.say(logging.ERROR, "start file not taken", error)
         peers = (
             (processor, latest.processor, new.processor),
             (database, latest.database, new.database),
@@ -76,30 +76,30 @@
             # that is back before that would change nothing, and the address between the two would stay.
             if last_told != where or peer.where != where:
                 peer.tell(Move(where))
-        log.say(logging.INFO, "start file read again", processor=new.processor, database=new.database)
+        logs.say(logging.INFO, "start file read again", processor=new.processor, database=new.database)
 
     def reforms() -> None:
         """The operators' file again. Whatever is wrong with it, the old one stays in force, whole."""
         try:
-            sides, new = behind.reform(desk.behind, orders(), around)
+            sides, new = extensions.reform(desk.behind, orders(), around)
         except Exception as error:
-            log.counts["orders_bad"] += 1
-            return log.say(logging.ERROR, "operators' file not taken", error)
+            logs.counts["orders_bad"] += 1
+            return logs.say(logging.ERROR, "operators' file not taken", error)
         desk.stands(sides)
-        behind.run(tasks, new)
+        extensions.run(tasks, new)
 
     try:
         where = await _listen(front, station)
         if where is None:
-            return log.say(logging.INFO, "left", name=station.name, why="told so before it could listen")
-        log.say(logging.INFO, "listening", name=station.name, address=where)
+            return logs.say(logging.INFO, "left", name=station.name, why="told so before it could listen")
+        logs.say(logging.INFO, "listening", name=station.name, address=where)
         gc.set_threshold(*GARBAGE)
         gc.collect()
         gc.freeze()  # what was made at the start stays, and need not be looked at again
         async with anyio.create_task_group() as tasks:
             for actor in (front, processor, database, roster):
                 tasks.start_soon(_kept_up, actor.run)
-            behind.run(tasks, desk.behind)
+            extensions.run(tasks, desk.behind)
             await tasks.start(_signals, desk, (moves, reforms))
             task_status.started(where)
             await desk.run()
@@ -116,7 +116,7 @@
             peer.outbox.close()
             peer.unsent.close()
     desk.tell_counts()
-    log.say(logging.INFO, "left", name=station.name)
+    logs.say(logging.INFO, "left", name=station.name)
 
 
 async def _listen(front: Front, station: Station) -> Address | None:
@@ -134,12 +134,12 @@
             in_use = isinstance(error, OSError) and error.errno == errno.EADDRINUSE
             if not in_use or clock() >= give_up_at:
                 raise BadStart(f"cannot listen on {station.listen}: {error}") from None
-        if held.noticed():
+        if early_signals.noticed():
             return None
         if not waits:
             waits = True
             span = station.stop + KILLED_WITHIN
-            log.say(logging.WARNING, "address in use, tried again", address=station.listen, within=span)
+            logs.say(logging.WARNING, "address in use, tried again", address=station.listen, within=span)
         await anyio.sleep(LISTEN_RETRY)
 
 
@@ -149,8 +149,8 @@
         try:
             return await run()
         except Exception as error:
-            log.counts["actor_error"] += 1
-            log.say(logging.ERROR, "actor starts again", error)
+            logs.counts["actor_error"] += 1
+            logs.say(logging.ERROR, "actor starts again", error)
             await anyio.sleep(AGAIN)
 
 
@@ -166,10 +166,12 @@
         notice.append(time())
 
     with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals:
-        for number in held.NOTICES:  # in place of a handler that does nothing; what wakes the loop stays
+        for (
+            number
+        ) in early_signals.NOTICES:  # in place of a handler that does nothing; what wakes the loop stays
             signal.signal(number, stamp)
             signal.siginterrupt(number, False)
-        if (waited := held.let_go()) is not None:
+        if (waited := early_signals.let_go()) is not None:
             notice.insert(0, waited)
         task_status.started()
         try:
@@ -180,4 +182,4 @@
                 else:
                     await post(desk.inbox, Leave(notice[0]))
         finally:
-            held.hold_again()
+            early_signals.hold_again()
