--- a/thymeyoke/net/front.py
+++ b/thymeyoke/server/listener.py
@@ -12,9 +12,12 @@
 from anyio.abc import SocketAttribute, TaskGroup
 from anyio.streams.memory import MemoryObjectSendStream
 
-from thymeyoke.net import log, rpc
-from thymeyoke.net.clock import clock
-from thymeyoke.net.mail import (
+from thymeyoke.configuration.start_file import Address, Names
+from thymeyoke.runtime import logs
+from thymeyoke.runtime.clock import clock
+from thymeyoke.runtime.mailbox import post, take_all
+from thymeyoke.server import routers_wire
+from thymeyoke.server.messages import (
     Answer,
     Arrived,
     Checked,
@@ -26,11 +29,8 @@
     Telling,
     Trim,
     Verdict,
-    post,
-    waiting,
 )
-from thymeyoke.net.receiver import Receiver
-from thymeyoke.start import Address, Names
+from thymeyoke.server.socket_reader import Receiver
 
 OPEN_OPS = 32  # of one connection
 OUTBOX = 4 * OPEN_OPS  # answers that a router may leave unread
@@ -55,7 +55,7 @@
     """
 
     def __init__(self, accepted: socket.socket, names: Names, desk: MemoryObjectSendStream[Event]) -> None:
-        self.accepted, self.desk, self.reader = accepted, desk, rpc.Reader(names)
+        self.accepted, self.desk, self.reader = accepted, desk, routers_wire.Reader(names)
         self.receiver = Receiver(accepted)
         self.open: dict[int, str | None] = {}  # requests' ids by number, None for a health check
         self.outbox, self.unsent = anyio.create_memory_object_stream[Telling | None](OUTBOX)
@@ -76,10 +76,10 @@
             self.outbox.send_nowait(what)
             self.owed += 1
         except anyio.WouldBlock:  # it reads no answers: it is closed, and its ops with it
-            log.counts["outbox_full"] += 1
+            logs.counts["outbox_full"] += 1
             self.scope.cancel()
         except (anyio.BrokenResourceError, anyio.ClosedResourceError):
-            log.counts["answer_unsent"] += 1
+            logs.counts["answer_unsent"] += 1
 
     async def run(self) -> None:
         try:
@@ -88,8 +88,8 @@
                     tasks.start_soon(self._write)
                     await self._read()
         except Exception as error:
-            log.counts["connection_error"] += 1
-            log.say(logging.ERROR, "connection ends", error)
+            logs.counts["connection_error"] += 1
+            logs.say(logging.ERROR, "connection ends", error)
         finally:
             with anyio.CancelScope(shield=True):
                 await self._end()
@@ -107,7 +107,7 @@
     def _shut(self) -> None:
         """Write what was told, as far as it is taken at once, and end the sending half."""
         with suppress(OSError):
-            self.accepted.send(b"".join([self.rest, *map(_encode, waiting(self.unsent))]))
+            self.accepted.send(b"".join([self.rest, *map(_encode, take_all(self.unsent))]))
         with suppress(OSError):  # the router's side is gone already
             self.accepted.shutdown(socket.SHUT_WR)
         self.owed = 0
@@ -132,7 +132,7 @@
         """Drop what stands unread; whether the router's side has ended too."""
         try:
             for _ in range(LINGER_READS):
-                if not self.accepted.recv(rpc.CHUNK):
+                if not self.accepted.recv(routers_wire.CHUNK):
                     break
         except BlockingIOError:
             return False
@@ -165,9 +165,9 @@
             self.tell(None)
         except OSError:
             self.scope.cancel()
-        except rpc.BadFrame as error:
-            log.counts["bad_frame"] += 1
-            log.of_peer("connection closed", why=str(error))
+        except routers_wire.BadFrame as error:
+            logs.counts["bad_frame"] += 1
+            logs.of_peer("connection closed", why=str(error))
             self.scope.cancel()
 
     async def _feed(self, data: bytes) -> None:
@@ -183,42 +183,42 @@
         elif messages or self.half_since == math.inf:
             self.half_since = self.used
 
-    async def _take(self, message: rpc.Message) -> None:
+    async def _take(self, message: routers_wire.Message) -> None:
         match message:
-            case rpc.Ask(number, order):
+            case routers_wire.Ask(number, order):
                 self._open(number, order.id)
                 await post(self.desk, Arrived(self, number, order))
-            case rpc.Check(number):
+            case routers_wire.Check(number):
                 self._open(number, None)
                 await post(self.desk, Checked(self, number))
-            case rpc.Cancel(number):
+            case routers_wire.Cancel(number):
                 if id := self.open.get(number):
                     del self.open[number]
                     await post(self.desk, Gone(id, self))
-            case rpc.Unclear(number, why):
+            case routers_wire.Unclear(number, why):
                 self._check_unused(number)
-                log.counts["unclear"] += 1
-                log.of_peer("op not understood", why=why)
+                logs.counts["unclear"] += 1
+                logs.of_peer("op not understood", why=why)
                 self.tell(Answer(number, Verdict.NACK))
                 self.unclear += 1
                 if self.unclear > UNCLEAR_LIMIT:  # the same again as soon as it is turned away, for ever
-                    raise rpc.BadFrame("too many ops that are not understood")
+                    raise routers_wire.BadFrame("too many ops that are not understood")
 
     def _open(self, number: int, id: str | None) -> None:
         self._check_unused(number)
         if len(self.open) >= OPEN_OPS:
-            raise rpc.BadFrame("too many ops open")
+            raise routers_wire.BadFrame("too many ops open")
         self.open[number] = id
 
     def _check_unused(self, number: int) -> None:
         """The answer to a second message under an open number would pass for the answer to the first."""
         if number in self.open:
-            raise rpc.BadFrame(f"number {number} is open already")
+            raise routers_wire.BadFrame(f"number {number} is open already")
 
     async def _write(self) -> None:
         try:
             async for first in self.unsent:
-                batch = [first, *waiting(self.unsent)]
+                batch = [first, *take_all(self.unsent)]
                 if data := b"".join(map(_encode, batch)):
                     await self._send(data)
                     self.used = clock()
@@ -238,7 +238,7 @@
 
 
 def _encode(what: Telling | None) -> bytes:
-    return b"" if what is None else rpc.encode(what)
+    return b"" if what is None else routers_wire.encode(what)
 
 
 class Front:
@@ -305,8 +305,8 @@
             except (BlockingIOError, ConnectionAbortedError):
                 return True
             except OSError as error:  # no descriptors
-                log.counts["accept_failed"] += 1
-                log.say(logging.WARNING, "accept failed", error)
+                logs.counts["accept_failed"] += 1
+                logs.say(logging.WARNING, "accept failed", error)
                 return False
             if len(self.connections) >= self.most and not self._make_room():
                 accepted.close()  # nothing ran for it: it may go elsewhere
@@ -327,12 +327,12 @@
             anyio.notify_closing(door)
             door.close()
             let_in = len(self.connections) - before
-            log.say(logging.INFO, "door shut", connections=len(self.connections), let_in=let_in)
+            logs.say(logging.INFO, "door shut", connections=len(self.connections), let_in=let_in)
 
     def _make_room(self) -> bool:
         """A full table once shut routers out for peers that hold a connection and say nothing: who never said
         a whole message goes first, then who said the last one longest ago. None with an op open."""
-        log.counts["no_descriptor"] += 1
+        logs.counts["no_descriptor"] += 1
         unused = [one for one in self.connections if not one.open and not one.owed and not one.taking]
         unused.sort(key=lambda one: (not one.scope.cancel_called, one.heard, one.used))
         victim = next((one for one in unused if one.scope.cancel_called or one.quiet()), None)
@@ -343,7 +343,7 @@
         return True
 
     async def _serve(self, connection: Connection) -> None:
-        log.counts["connections"] += 1
+        logs.counts["connections"] += 1
         try:
             await connection.run()
         finally:
@@ -364,7 +364,7 @@
             if connection.scope.cancel_called:  # it ends already
                 continue
             if now > connection.half_since + HALF_SAID and connection.idle():
-                log.counts["half_said"] += 1
+                logs.counts["half_said"] += 1
                 connection.scope.cancel()
             elif connection.open:
                 continue
@@ -374,5 +374,5 @@
                 if (connection.idle() and not connection.reader.half()) or takes_no_answers:
                     connection.scope.cancel()
             elif now > connection.used + self.idle and connection.leaving_since == math.inf:
-                log.counts["trimmed"] += 1
+                logs.counts["trimmed"] += 1
                 connection.tell(Leaving())
--- a/thymeyoke/net/mail.py
+++ b/thymeyoke/server/messages.py
@@ -5,15 +5,11 @@
 
 from __future__ import annotations
 
-from contextlib import suppress
 from enum import Enum
-from typing import Any, NamedTuple, Protocol, TypeVar
+from typing import Any, NamedTuple, Protocol
 
-import anyio
-from anyio.streams.memory import MemoryObjectReceiveStream, MemoryObjectSendStream
-
-from thymeyoke.port.facts import Outcome
-from thymeyoke.start import Address
+from thymeyoke.admission.settings import Outcome
+from thymeyoke.configuration.start_file import Address
 
 NOT_TOLD = 0.0  # of a patience, or of an op's work
 
@@ -273,23 +269,3 @@
     Arrived | Checked | Gone | Emptied | Leave | Probe
     | Up | Synced | Down | Ended | Asked | Gauges | Refused | CallOver
 )  # fmt: skip
-
-
-Letter = TypeVar("Letter")
-
-
-def waiting(mailbox: MemoryObjectReceiveStream[Letter]) -> list[Letter]:
-    """Take all that is in a mailbox now."""
-    return [mailbox.receive_nowait() for _ in range(mailbox.statistics().current_buffer_used)]
-
-
-async def post(desk: MemoryObjectSendStream[Event], event: Event) -> None:
-    """Tell the desk, unless it has gone home; wait only where its mailbox is full: a wait costs a turn of
-    the event loop. A peer whose link is given up meanwhile still tells it: a notice counts as read already,
-    and no other link would bring it again."""
-    with suppress(anyio.BrokenResourceError, anyio.ClosedResourceError):
-        try:
-            desk.send_nowait(event)
-        except anyio.WouldBlock:
-            with anyio.CancelScope(shield=True):
-                await desk.send(event)
--- a/thymeyoke/net/processor.py
+++ b/thymeyoke/server/processor.py
@@ -13,11 +13,12 @@
 from anyio.abc import ByteStream
 from anyio.streams.memory import MemoryObjectSendStream
 
-from thymeyoke.coldstart.decide import ColdStart
-from thymeyoke.coldstart.link import Standing
-from thymeyoke.net import log
-from thymeyoke.net.clock import clock
-from thymeyoke.net.mail import (
+from thymeyoke.admission.settings import Outcome
+from thymeyoke.configuration.start_file import Address, Names
+from thymeyoke.runtime import logs
+from thymeyoke.runtime.clock import clock
+from thymeyoke.runtime.mailbox import post, take_all
+from thymeyoke.server.messages import (
     Asked,
     Begin,
     Command,
@@ -34,11 +35,9 @@
     TakeUp,
     Up,
     Without,
-    post,
-    waiting,
 )
-from thymeyoke.port.facts import Outcome
-from thymeyoke.start import Address, Names
+from thymeyoke.slow_start.connector import Standing
+from thymeyoke.slow_start.controller import ColdStart
 
 ENDS = {"OK": Outcome.OK, "ERROR": Outcome.ERROR, "STOPPED": Outcome.STOPPED, "MOOT": Outcome.MOOT}
 OUTBOX = 1024
@@ -177,7 +176,7 @@
         try:
             self.outbox.send_nowait(command)
         except anyio.WouldBlock:
-            log.counts["processor_outbox_full"] += 1
+            logs.counts["processor_outbox_full"] += 1
             self.unproven.loses(clock(), (command,))
             self.scope.cancel()
 
@@ -198,12 +197,12 @@
             try:
                 await self._live(stream)
             except Exception as error:
-                log.counts["processor_error"] += 1
-                log.say(logging.ERROR, "processor link ends", error)
+                logs.counts["processor_error"] += 1
+                logs.say(logging.ERROR, "processor link ends", error)
             finally:
                 await anyio.aclose_forcefully(stream)
             self.unproven.loses(clock())
-            log.counts["processor_links_lost"] += 1
+            logs.counts["processor_links_lost"] += 1
             pause = self.tries.lost(clock())
             await post(self.desk, Down())
             await self._rest(pause)
@@ -212,12 +211,12 @@
         """Until the next try. That it has failed is told once."""
         standing = self.tries.standing(clock())
         if standing is Standing.FAILED and self.said is not standing:
-            log.say(logging.WARNING, "processor out of reach", address=self.where, tries=self.tries.failures)
+            logs.say(logging.WARNING, "processor out of reach", address=self.where, tries=self.tries.failures)
         self.said = standing
         await anyio.sleep(pause)
 
     async def _live(self, stream: ByteStream) -> None:
-        self.unproven.loses(clock(), waiting(self.unsent))  # told to the link before: the desk sends again
+        self.unproven.loses(clock(), take_all(self.unsent))  # told to the link before: the desk sends again
         with anyio.CancelScope() as self.scope:
             async with anyio.create_task_group() as tasks:
                 hello = orjson.dumps({"event": "hello", "cursor": self.cursor})
@@ -229,7 +228,7 @@
     async def _write(self, stream: ByteStream) -> None:
         try:
             async for command in self.unsent:
-                batch, now = [command, *waiting(self.unsent)], clock()
+                batch, now = [command, *take_all(self.unsent)], clock()
                 for each in batch:
                     self.unproven.writes(now, each)
                 await stream.send(b"".join(encode(command, self.op_types) for command in batch))
@@ -248,8 +247,8 @@
         except (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError):
             return
         except BadLine as error:
-            log.counts["processor_bad_line"] += 1
-            log.say(logging.WARNING, "processor link dropped", why=str(error))
+            logs.counts["processor_bad_line"] += 1
+            logs.say(logging.WARNING, "processor link dropped", why=str(error))
 
     async def _heard(self, line: bytes) -> None:
         cursor, event = decode(line, self.link)
--- a/thymeyoke/net/rpc.py
+++ b/thymeyoke/server/routers_wire.py
@@ -6,9 +6,9 @@
 
 import msgpack
 
-from thymeyoke.net.clock import clock
-from thymeyoke.net.mail import NOT_TOLD, Fitness, Leaving, Order, Telling, Verdict
-from thymeyoke.start import Names
+from thymeyoke.configuration.start_file import Names
+from thymeyoke.runtime.clock import clock
+from thymeyoke.server.messages import NOT_TOLD, Fitness, Leaving, Order, Telling, Verdict
 
 BODY_LIMIT = 2048
 FIELD_LIMIT = 512  # bytes of a name or a field
--- a/thymeyoke/net/receiver.py
+++ b/thymeyoke/server/socket_reader.py
@@ -7,7 +7,7 @@
 
 import anyio
 
-from thymeyoke.net.rpc import CHUNK
+from thymeyoke.server.routers_wire import CHUNK
 
 
 class Receiver:
--- a/thymeyoke/drill/__main__.py
+++ b/thymeyoke/simulator/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m thymeyoke.drill`: batches of events in, one reply a batch out, until input ends."""
+"""`python -m thymeyoke.simulator`: batches of events in, one reply a batch out, until input ends."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 import orjson
 
-from thymeyoke.choice import Choice
-from thymeyoke.drill import words
-from thymeyoke.net.log import place
-from thymeyoke.start import start
+from thymeyoke.admission.controller import Choice
+from thymeyoke.configuration.start_file import start
+from thymeyoke.runtime.logs import place
+from thymeyoke.simulator import wire
 
 
 class BadInput(Exception):
@@ -33,7 +33,7 @@
                 self.yokes.pop(row[1], None)
                 touched.pop(row[1], None)
                 continue
-            if name != "Launch" and name not in words.EVENTS:
+            if name != "Launch" and name not in wire.EVENTS:
                 raise BadInput(f"unknown event {str(row)[:80]}")
             i = row[1]
             if name != "Launch" and i not in self.yokes:
@@ -43,13 +43,13 @@
                     yoke = self.yokes[i] = Choice(now=now, **start(row[2], row[3]))
                 else:
                     yoke = self.yokes[i]
-                    words.event(yoke, now, row)
+                    wire.event(yoke, now, row)
                 touched[i] = yoke
             except Exception as error:
                 reply.append(["Broken", i, place(error)])
         for i, yoke in touched.items():
             try:
-                reply.extend(words.ACTIONS[type(act)](i, act) for act in yoke.settle(now))
+                reply.extend(wire.ACTIONS[type(act)](i, act) for act in yoke.settle(now))
             except Exception as error:
                 reply.append(["Broken", i, place(error)])
         return reply
@@ -66,7 +66,7 @@
         if name == "Tick":
             if len(row) < 3:
                 raise BadInput(f"line {line_number}: Tick without clock and number")
-            now, seq, rows = row[1] * words.MICRO, row[2], []
+            now, seq, rows = row[1] * wire.MICRO, row[2], []
         elif name == "Commit":
             if seq is None:
                 raise BadInput(f"line {line_number}: Commit without Tick")
@@ -88,7 +88,7 @@
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except BadInput as error:
-        print(f"thymeyoke.drill: {error}", file=sys.stderr)
+        print(f"thymeyoke.simulator: {error}", file=sys.stderr)
         return 2
     return 0
 
--- a/thymeyoke/drill/words.py
+++ b/thymeyoke/simulator/wire.py
@@ -6,18 +6,18 @@
 from math import ceil
 from typing import Any
 
-from thymeyoke.port import actions, facts
-from thymeyoke.start import MICRO
+from thymeyoke.admission import actions, settings
+from thymeyoke.configuration.start_file import MICRO
 
 OUTCOMES = {
-    "pass": facts.Outcome.OK,
-    "fault": facts.Outcome.ERROR,
-    "no_room": facts.Outcome.FULL,
-    "too_slow": facts.Outcome.TIMEOUT,
-    "no_route": facts.Outcome.UNREACHED,
-    "cut": facts.Outcome.CUT,
-    "undone": facts.Outcome.STOPPED,
-    "stale_send": facts.Outcome.MOOT,
+    "pass": settings.Outcome.OK,
+    "fault": settings.Outcome.ERROR,
+    "no_room": settings.Outcome.FULL,
+    "too_slow": settings.Outcome.TIMEOUT,
+    "no_route": settings.Outcome.UNREACHED,
+    "cut": settings.Outcome.CUT,
+    "undone": settings.Outcome.STOPPED,
+    "stale_send": settings.Outcome.MOOT,
 }
 HINTED, FURTHER, WRITE = 1, 2, 4  # the bits of an op's `state_bits`
 ORDER_LENGTH = 14  # name, instance and twelve values
@@ -27,12 +27,12 @@
     return ceil(seconds * 1e6 - 1e-3)
 
 
-def op(row: list[Any]) -> facts.Op:
+def op(row: list[Any]) -> settings.Op:
     """An `Order` line as an op; values that are missing at its end are absent."""
     if len(row) < ORDER_LENGTH:
         row = row + [None] * (ORDER_LENGTH - len(row))
     bits = row[7] or 0
-    return facts.Op(
+    return settings.Op(
         row[2],
         row[3] or 0,
         row[4] or 0,
--- a/thymeyoke/coldstart/__init__.py
+++ b/thymeyoke/slow_start/__init__.py
@@ -1,1 +1,1 @@
-"""When a starting server reports, connects and calls; one retry budget a process. docs/coldstart.md."""
+"""When a starting server reports, connects and calls; one retry budget a process. docs/slow_start.md."""
--- a/thymeyoke/coldstart/waits.py
+++ b/thymeyoke/slow_start/backoff.py
@@ -13,7 +13,7 @@
 from math import inf
 from typing import Generic, NamedTuple, TypeVar
 
-from thymeyoke.coldstart.budget import Budget
+from thymeyoke.slow_start.retry_budget import Budget
 
 MOST = 4096  # calls that wait; ids that are remembered as failed
 
--- a/thymeyoke/coldstart/link.py
+++ b/thymeyoke/slow_start/connector.py
@@ -10,7 +10,7 @@
 from enum import Enum
 from random import Random
 
-from thymeyoke.coldstart.budget import Budget
+from thymeyoke.slow_start.retry_budget import Budget
 
 FIRST, LAST = 0.02, 0.5  # seconds between tries to connect; the last is the floor, and needs no budget
 DOUBLINGS = 16  # of a pause at the most: far past LAST, and far below what a float holds
--- a/thymeyoke/coldstart/decide.py
+++ b/thymeyoke/slow_start/controller.py
@@ -1,6 +1,6 @@
 """One process's start: how far it has come, and what follows for reports, calls below and repeats.
 
-Pure: facts in, moments and leave out. docs/coldstart.md has the states as a table, the rules, and the ways
+Pure: facts in, moments and leave out. docs/slow_start.md has the states as a table, the rules, and the ways
 weighed. `Roster`, `Database` and `Processor` carry out what is said here.
 """
 
@@ -9,12 +9,12 @@
 from enum import Enum
 from random import Random
 
-from thymeyoke.coldstart.beat import KEEP, PATIENCE, SPAN, Beat
-from thymeyoke.coldstart.budget import Budget
-from thymeyoke.coldstart.link import Link
-from thymeyoke.coldstart.pace import Pace, Terms
-from thymeyoke.coldstart.waits import Failed
-from thymeyoke.port.facts import Outcome
+from thymeyoke.admission.settings import Outcome
+from thymeyoke.slow_start.backoff import Failed
+from thymeyoke.slow_start.connector import Link
+from thymeyoke.slow_start.heartbeat import KEEP, PATIENCE, SPAN, Beat
+from thymeyoke.slow_start.rate_limiter import Pace, Terms
+from thymeyoke.slow_start.retry_budget import Budget
 
 HELD = SPAN / 4  # seconds by which a timer is late: this process was held, by more than its own work
 REPEATS = 4  # of each call that can be out at once: the size of the budget
--- a/thymeyoke/coldstart/beat.py
+++ b/thymeyoke/slow_start/heartbeat.py
@@ -9,7 +9,7 @@
 
 from random import Random
 
-from thymeyoke.coldstart.budget import Budget
+from thymeyoke.slow_start.retry_budget import Budget
 
 SPAN = 0.9  # seconds between reports when all is sound
 PATIENCE = 0.9  # seconds; a report that is not answered by then is given up
--- a/thymeyoke/coldstart/pace.py
+++ b/thymeyoke/slow_start/rate_limiter.py
@@ -10,7 +10,7 @@
 from random import Random
 from typing import Any, NamedTuple
 
-from thymeyoke.port.facts import Below, Dependency, Machine, Outcome, Survival
+from thymeyoke.admission.settings import Below, Dependency, Machine, Outcome, Survival
 
 CATCH = 1.2  # of the usual rate: no more while it is closed, so that nothing is made up for in one go
 NEWS = 8.0  # seconds without trouble: what waits then is new, and the cap grows by a usual rate in as long
