--- a/benchmarks/bgp.py
+++ b/benchmarks/bgp.py
@@ -144,7 +144,7 @@
                     await anyio.sleep(0.05)
                 decided = [
                     line["at"] for line in map(orjson.loads, one.log().splitlines())
-                    if line["what"] == "announced" and line["address"] == SECOND
+                    if line["event"] == "address_level_changed" and line["address"] == SECOND
                 ]  # fmt: skip
                 wanted = Nlri(32, bytes((203, 0, 113, 7)))
                 heard = [seen.at for seen in peer.log if seen.what == "announce" and seen.nlri == wanted]
--- a/benchmarks/fault_injection.py
+++ b/benchmarks/fault_injection.py
@@ -114,11 +114,11 @@
         for line in self.here.timeline.own:
             at, link = line["at"], line.get("link", "")
             who, _, to = link.partition(" > ")
-            if line["what"] == "fault":
+            if line["event"] == "fault":
                 begun.setdefault((link, line["fault"]), at)
                 if line["fault"] in ONCE:
                     found.append(Hurt("link", who, begun.pop((link, line["fault"])), at, to))
-            elif line["what"] == "healed":
+            elif line["event"] == "healed":
                 for fault in line["fault"].split(","):
                     found.append(Hurt("link", who, begun.pop((link, fault), at), at, to))
         return found
@@ -171,7 +171,7 @@
 
     def _heard(self, node: str, hurt: Hurt) -> float:
         """When a node first heard what became of an app server."""
-        lines = self.here[node].said("stage", hurt.since, server=hurt.name)
+        lines = self.here[node].said("server_state_changed", hurt.since, server=hurt.name)
         return lines[0]["at"] if lines else float("inf")
 
     def twice(self, crowd: Crowd) -> list[bytes]:
@@ -204,11 +204,11 @@
         self.lines = here.timeline.merged(here.all.values())
         for one in crowd.tries:
             self.lines.append({
-                "at": one.at, "who": "customer", "what": "asks", "customer": source(one.customer),
+                "at": one.at, "who": "customer", "event": "asks", "customer": source(one.customer),
                 "node": one.node, "server": one.server, "fate": one.fate, "took": round(one.took, 3),
                 "body": one.body.decode()})  # fmt: skip
         for server in here.servers:
-            self.lines += [{"at": run.at, "who": server.name, "what": "runs", "body": run.body.decode()}
+            self.lines += [{"at": run.at, "who": server.name, "event": "runs", "body": run.body.decode()}
                            for run in server.processor.ran]  # fmt: skip
         self.lines.sort(key=lambda line: line["at"])
 
@@ -219,7 +219,7 @@
         for line in self.here.timeline.own:
             if line["at"] > at:
                 break
-            match line["what"]:
+            match line["event"]:
                 case "fault":
                     links.setdefault(line["link"], set()).add(line["fault"])
                 case "healed":
@@ -239,10 +239,10 @@
         names = {address, numbered(self.crowd.all[customer - 1].tenant, address)}
         found = [f"in force {since - self.here.begun:.3f}: {self.wrong(since)}"]
         for line in self.lines:
-            if not since <= line["at"] <= until or line["what"] in NOISE:
+            if not since <= line["at"] <= until or line["event"] in NOISE:
                 continue
             whose = line.get("customer")
-            if (whose is None or whose in names) and (line["what"] != "runs" or line["body"] == body):
+            if (whose is None or whose in names) and (line["event"] != "runs" or line["body"] == body):
                 found.append(in_text(line, self.here.begun))
         return [*found, f"in force {until - self.here.begun:.3f}: {self.wrong(until)}"]
 
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -38,7 +38,7 @@
 
 async def ready(one: Instance) -> None:
     with anyio.fail_after(20):
-        while "up" not in [orjson.loads(line)["what"] for line in one.log().splitlines()]:
+        while "processor_ready" not in [orjson.loads(line)["event"] for line in one.log().splitlines()]:
             await anyio.sleep(0.01)
 
 
--- a/benchmarks/ledger.py
+++ b/benchmarks/ledger.py
@@ -57,7 +57,9 @@
             pid, row = one.process.pid, found.setdefault(way, {})
             try:
                 with anyio.fail_after(10):
-                    while "up" not in [orjson.loads(line)["what"] for line in one.log().splitlines()]:
+                    while "processor_ready" not in [
+                        orjson.loads(line)["event"] for line in one.log().splitlines()
+                    ]:
                         await anyio.sleep(0.05)
                 router = await Router.connect(tasks, "127.0.0.1", one.port)
                 await closed_loop(router, 500)
--- a/benchmarks/proxy.py
+++ b/benchmarks/proxy.py
@@ -33,7 +33,7 @@
 from fakes.fleet import free_port
 from thymeyoke.configuration.service_config import HostPort
 from thymeyoke.membership.configuration import Members
-from thymeyoke.membership.service import Fleet, incarnation
+from thymeyoke.membership.service import MembershipService, incarnation
 from thymeyoke.membership.view import Snapshot, State
 from thymeyoke.runtime import logs
 
@@ -70,7 +70,7 @@
         loop = asyncio.get_running_loop()
         await loop.create_server(Echo, "127.0.0.1", port, backlog=4096)
         own = Snapshot("echo", False, incarnation(), 0, State.SERVING, str(told.address), f"127.0.0.1:{port}")
-        await Fleet(told, own, 7).run()
+        await MembershipService(told, own, 7).run()
 
     anyio.run(run)
 
@@ -91,7 +91,7 @@
             "-m",
             "thymeyoke",
             "node",
-            "--orders",
+            "--service-config",
             str(orders),
             "--log-level",
             "error",
--- a/benchmarks/simulated.py
+++ b/benchmarks/simulated.py
@@ -24,7 +24,7 @@
 from fakes.simulated_slow_start import Crowd, Fault, Fixed, Process
 from thymeyoke.membership.failure_detector import Stand
 from thymeyoke.migration.controller import Terms
-from thymeyoke.slow_start.heartbeat import SPAN
+from thymeyoke.slow_start.heartbeat import INTERVAL_SECONDS
 
 Row = dict[str, Any]
 
@@ -369,10 +369,10 @@
     world.run(since)
     listed = crowd.until_listed(since + OVER)
     world.run(since + OVER)
-    steady, usual = crowd.many / SPAN, crowd.many * crowd.rate
+    steady, usual = crowd.many / INTERVAL_SECONDS, crowd.many * crowd.rate
     return Start(
         crowd.roster.came.peak(since, since + OVER) / steady,
-        crowd.roster.came.peak(since, since + OVER, round(SPAN / 0.1)) / steady,
+        crowd.roster.came.peak(since, since + OVER, round(INTERVAL_SECONDS / 0.1)) / steady,
         crowd.store.came.peak(since, since + OVER) / usual,
         listed,
         crowd.store.fell,
--- a/benchmarks/slow_start.py
+++ b/benchmarks/slow_start.py
@@ -41,7 +41,7 @@
 from fakes.faulty_link import held
 from fakes.namespaces import Apart, Far
 from fakes.slow_start import HEADROOM, PLAYS, TARGET, TIMEOUT, TOOK, Fault, play
-from thymeyoke.slow_start.heartbeat import SPAN
+from thymeyoke.slow_start.heartbeat import INTERVAL_SECONDS
 
 ROOT = Path(__file__).parent.parent
 LIMIT = 900  # seconds that a process may live
@@ -167,14 +167,14 @@
         self.nice = os.getpriority(os.PRIO_PROCESS, 0)
         self.asking = True  # until the routers are to ask no more
         self.turns = self.own = Turns()  # of the process that counts; of this one, which asks
-        self.list: List | Far = List(HEADROOM * many / SPAN)
+        self.list: List | Far = List(HEADROOM * many / INTERVAL_SECONDS)
         self.base: Base | Far = Base(TOOK, Strength(falls, falls, DOWN))
         self.all = [One(number, self, rate) for number in range(many)]
 
     def apart(self) -> Apart:
         """List and database in a process of their own: hundreds keep this one busy."""
         self._close()
-        there = Apart(HEADROOM * self.many / SPAN, TOOK, self.falls, self.falls, DOWN)
+        there = Apart(HEADROOM * self.many / INTERVAL_SECONDS, TOOK, self.falls, self.falls, DOWN)
         self.list, self.base, self.turns = there.list, there.base, there.turns
         return there
 
--- a/examples/fleet/__main__.py
+++ b/examples/fleet/__main__.py
@@ -6,8 +6,8 @@
 By hand, each in a terminal of its own:
 
     python -m examples.fleet around
-    python -m thymeyoke serve --config examples/fleet/app-1.json --orders examples/fleet/app-1.ini
-    python -m thymeyoke node --orders examples/fleet/node-1.ini
+    python -m thymeyoke serve --config examples/fleet/app-1.json --service-config examples/fleet/app-1.ini
+    python -m thymeyoke node --service-config examples/fleet/node-1.ini
     python -m examples.fleet send
 
 The files in this folder name fixed ports on loopback. docs/fleet-operators.md goes through it.
@@ -69,12 +69,12 @@
     """Stand in for what is around the app servers, until interrupted."""
 
     async def run() -> None:
-        stations = [start_file.read(HERE / f"{name}.json")[0] for name in APPS]
+        stations = [start_file.read_start_file(HERE / f"{name}.json")[0] for name in APPS]
         async with anyio.create_task_group() as tasks:
             for station in stations:
                 await tasks.start(Named(station.name).run, station.processor.port)
-            await tasks.start(Database().run, stations[0].database.port)
-            await tasks.start(Roster().run, stations[0].roster.port)
+            await tasks.start(Database().run, stations[0].dependency.port)
+            await tasks.start(Roster().run, stations[0].endpoint_registry.port)
             click.echo("processors, database and list are up")
 
     anyio.run(run)
@@ -92,7 +92,10 @@
 async def _send(customers: int) -> int:
     """The table of who reached what; 1 where a customer met two app servers, or an op was not acked."""
     where = {
-        name: {one.tenant: one.address for one in service_config.read(HERE / f"{name}.ini")["node"].services}
+        name: {
+            one.tenant: one.address
+            for one in service_config.read_service_config(HERE / f"{name}.ini")["node"].services
+        }
         for name in NODES
     }
     good = 0
@@ -137,16 +140,18 @@
         begin("examples.fleet", "around")
         files = [str(HERE / f"{name}.{end}") for name in APPS for end in ("json", "ini")]
         servers = [
-            begin("thymeyoke", "serve", "--log-level", "warning", "--config", config, "--orders", ini)
+            begin("thymeyoke", "serve", "--log-level", "warning", "--config", config, "--service-config", ini)
             for config, ini in zip(files[::2], files[1::2], strict=True)
         ]
         nodes = [
-            begin("thymeyoke", "node", "--log-level", "warning", "--orders", str(HERE / f"{name}.ini"))
+            begin(
+                "thymeyoke", "node", "--log-level", "warning", "--service-config", str(HERE / f"{name}.ini")
+            )
             for name in NODES
         ]
-        listens = [start_file.read(HERE / f"{name}.json")[0].listen for name in APPS]
+        listens = [start_file.read_start_file(HERE / f"{name}.json")[0].listen for name in APPS]
         for name in NODES:
-            services = service_config.read(HERE / f"{name}.ini")["node"].services
+            services = service_config.read_service_config(HERE / f"{name}.ini")["node"].services
             listens += [start_file.Address("127.0.0.1", one.address.port) for one in services]
         if not all(children.reached(where, [*servers, *nodes], ends) for where in listens):
             raise click.ClickException("not all of it came up; is one of its ports taken?")
@@ -154,7 +159,8 @@
         bad = anyio.run(_send, customers)
         for name in NODES:
             subprocess.run(
-                [*python, "thymeyoke", "moves", "show", "--orders", str(HERE / f"{name}.ini")], cwd=ROOT
+                [*python, "thymeyoke", "moves", "show", "--service-config", str(HERE / f"{name}.ini")],
+                cwd=ROOT,
             )
         for child in (*nodes, *servers):
             child.terminate()
--- a/examples/toy.py
+++ b/examples/toy.py
@@ -45,11 +45,11 @@
     """Stand in for the processor, the database and the list, until interrupted."""
 
     async def run() -> None:
-        station = start_file.read(config)[0]
+        station = start_file.read_start_file(config)[0]
         async with anyio.create_task_group() as tasks:
             await tasks.start(Processor(span=0.2).run, station.processor.port)
-            await tasks.start(Database().run, station.database.port)
-            await tasks.start(Roster().run, station.roster.port)
+            await tasks.start(Database().run, station.dependency.port)
+            await tasks.start(Roster().run, station.endpoint_registry.port)
             click.echo("processor, database and list are up")
 
     anyio.run(run)
@@ -62,11 +62,11 @@
     """Send ops of all types by turns and print their answers."""
 
     async def run() -> int:
-        station, names, _ = start_file.read(config)
+        station, names, _ = start_file.read_start_file(config)
         failed = 0
         async with anyio.create_task_group() as tasks:
             router = await Router.connect(tasks, station.listen.host, station.listen.port)
-            types = list(names.op_types)
+            types = list(names.request_classes)
             tenant = {"project": next(iter(names.tenants))} if names.tenants else {}
             sent = [
                 (await router.ask(types[at % len(types)], b"op %d" % at, replay=token_hex(16), **tenant), at)
@@ -103,13 +103,13 @@
 
         begin("examples.toy", "around")
         server = begin("thymeyoke", "serve")
-        station = start_file.read(config)[0]
+        station = start_file.read_start_file(config)[0]
         if not children.reached(station.listen, [server], time.monotonic() + UP):
             raise click.ClickException(f"no server came up at {station.listen}; is the port taken?")
         time.sleep(0.5)  # until the processor's link is up
         sent = subprocess.run([*python, "examples.toy", "send", "--ops", str(ops), *given]).returncode
         server.terminate()
-        code = server.wait(station.stop + 5)
+        code = server.wait(station.stop_timeout + 5)
     click.echo(f"the server left with code {code}")
     sys.exit(sent or code)
 
--- a/fakes/fleet.py
+++ b/fakes/fleet.py
@@ -96,7 +96,7 @@
         command += ["--config", str(config)]
         with open(self.folder / f"{self.number}.log", "ab") as log:
             self.process = subprocess.Popen(
-                [*command, *(("--orders", str(orders)) if peers or self.extra else ())], stderr=log
+                [*command, *(("--service-config", str(orders)) if peers or self.extra else ())], stderr=log
             )
 
     def signal(self, number: int) -> float:
@@ -122,7 +122,7 @@
     def said(self, what: str, since: float, **pairs: Any) -> list[float]:
         """The moments of its log lines with this text and these pairs, since one."""
         lines = [orjson.loads(line) for line in self.log().splitlines() if line.startswith("{")]
-        told = {"what": what, **pairs}
+        told = {"event": what, **pairs}
         return [line["at"] for line in lines if line["at"] >= since and told.items() <= line.items()]
 
 
--- a/fakes/passthrough.py
+++ b/fakes/passthrough.py
@@ -1,6 +1,6 @@
 """Starts the program with its ways out led through links, and with an end of its own.
 
-    python -O through.py ROOT TABLE SECONDS AHEAD ARGUMENTS...
+    python -O passthrough.py ROOT TABLE SECONDS AHEAD ARGUMENTS...
 
 ROOT holds the package `thymeyoke`; TABLE is a JSON object of "IP:PORT" and the port on 127.0.0.1 that a
 connect there is led to; the process's clock is so many seconds AHEAD; ARGUMENTS are the program's. It ends
--- a/fakes/processes.py
+++ b/fakes/processes.py
@@ -1,8 +1,9 @@
 """Processes of the program, what stands around them, the links between them, and one timeline of all.
 
 A `Drill` starts app servers and nodes as processes of their own, with the operators' files that it writes.
-Each way out of a process that has a link is led through it (`through.py`); the files tell the true addresses.
-Each process has its own time limit, is signalled and ended by its id, and none is left when a drill is over.
+Each way out of a process that has a link is led through it (`passthrough.py`); the files tell the true
+addresses. Each process has its own time limit, is signalled and ended by its id, and none is left when a
+drill is over.
 """
 
 from __future__ import annotations
@@ -33,7 +34,7 @@
 from fakes.faulty_link import Link, held
 
 ROOT = Path(__file__).parent.parent
-THROUGH = Path(__file__).with_name("through.py")
+THROUGH = Path(__file__).with_name("passthrough.py")
 PROGRAM = Path(os.environ.get("THYMEYOKE_DRILL_ROOT", ROOT))  # another one has a defence taken out
 LIMIT = 360  # seconds that a process may live
 BUSY = 3  # times as long as on a machine of its own a drill, or what it waits for, may take
@@ -56,7 +57,7 @@
         self.own: list[dict[str, Any]] = []  # as long as the drill
 
     def say(self, what: str, **pairs: Any) -> None:
-        self.own.append({"at": time.time(), "what": what, **pairs})
+        self.own.append({"at": time.time(), "event": what, **pairs})
 
     def merged(self, logs: Iterable[Process]) -> list[dict[str, Any]]:
         """All of it in one order."""
@@ -66,9 +67,9 @@
 
 
 def in_text(line: dict[str, Any], begun: float) -> str:
-    rest = {key: value for key, value in line.items() if key not in ("at", "who", "what", "level")}
+    rest = {key: value for key, value in line.items() if key not in ("at", "who", "event", "level")}
     pairs = " ".join(f"{key}={value}" for key, value in rest.items())
-    return f"{line['at'] - begun:8.3f} {line['who']:>10} {line['what']} {pairs}".rstrip()
+    return f"{line['at'] - begun:8.3f} {line['who']:>10} {line['event']} {pairs}".rstrip()
 
 
 def waited(pid: int) -> float:
@@ -156,7 +157,7 @@
                     line = orjson.loads(raw)
                     at = line["at"] = line["at"] - self.ahead
                 except (orjson.JSONDecodeError, KeyError, TypeError):
-                    line = {"at": at, "what": raw.decode(errors="replace")}
+                    line = {"at": at, "event": raw.decode(errors="replace")}
                 found.append(line)
         return found
 
@@ -164,7 +165,7 @@
         """Its log lines with this text and these pairs, since a moment."""
         return [
             line for line in self.lines()
-            if line["what"] == what and line["at"] >= since
+            if line["event"] == what and line["at"] >= since
             and all(line.get(key) == value for key, value in pairs.items())
         ]  # fmt: skip
 
@@ -256,7 +257,7 @@
         if not drill.operators_file:
             return ["--config", str(config)]
         orders.write_text("\n".join(drill.members_lines(self)) + "\n")
-        return ["--config", str(config), "--orders", str(orders)]
+        return ["--config", str(config), "--service-config", str(orders)]
 
 
 class Node(Process):
@@ -292,7 +293,7 @@
                 "address": f"127.0.0.1:{drill.peer.port}", "as": PEERS, "hold": 3})  # fmt: skip
         orders = self.folder / f"{self.name}.ini"
         orders.write_text("\n".join(lines) + "\n")
-        return ["--orders", str(orders)]
+        return ["--service-config", str(orders)]
 
     async def shown(self) -> dict[str, Any]:
         """What its control socket tells."""
@@ -434,7 +435,7 @@
         and a margin by its own word, and the nodes have had a margin to agree."""
         for one in self.servers:
             if one.name in names or (not names and one.runs):
-                await self.until(lambda one=one: one.said("up", one.started_at), 20.0, "not up")
+                await self.until(lambda one=one: one.said("processor_ready", one.started_at), 20.0, "not up")
         await anyio.sleep(self.linger + 2 * MARGIN)
 
     async def listening(self, *names: str) -> None:
--- a/fakes/simulated_slow_start.py
+++ b/fakes/simulated_slow_start.py
@@ -15,11 +15,11 @@
 from typing import Any
 
 from fakes.simulated_fleet import World
-from thymeyoke.admission.settings import Outcome
-from thymeyoke.slow_start.backoff import Waits
-from thymeyoke.slow_start.controller import ColdStart
-from thymeyoke.slow_start.heartbeat import KEEP, PATIENCE, SPAN
-from thymeyoke.slow_start.rate_limiter import LOOK, Terms
+from thymeyoke.admission.events import Outcome
+from thymeyoke.slow_start.backoff import CallBacklog
+from thymeyoke.slow_start.controller import StartupController
+from thymeyoke.slow_start.heartbeat import ENTRY_TTL_SECONDS, INTERVAL_SECONDS, REPORT_TIMEOUT_SECONDS
+from thymeyoke.slow_start.rate_limiter import TICK_SECONDS, RateLimits
 
 WINDOW = 0.1  # over which a peak is counted
 STARTS = 0.5  # processor time of a start
@@ -84,13 +84,13 @@
         world, rng = self.world, self.world.rng
         many = self.came.windows[int(world.now / WINDOW)] / (self.usual * WINDOW)
         if world.now < self.away_until:
-            return world.after(0.001, over, Outcome.UNREACHED)
+            return world.after(0.001, over, Outcome.UNREACHABLE)
         if many >= self.falls:
             self.fell += 1
             self.away_until = world.now + 3.0
-            return world.after(0.001, over, Outcome.CUT)
+            return world.after(0.001, over, Outcome.CONNECTION_LOST)
         if many > self.strength:
-            return world.after(0.002, over, Outcome.FULL)
+            return world.after(0.002, over, Outcome.REJECTED)
         world.after(rng.uniform(0.005, 0.02), over, Outcome.OK)
 
 
@@ -136,15 +136,15 @@
         self.alive = False
 
     def listed(self, now: float) -> bool:
-        return self.alive and now < self.heard + KEEP
+        return self.alive and now < self.heard + ENTRY_TTL_SECONDS
 
     # Reports.
 
     def _report(self) -> None:
         now = self.world.now
         self.report_number += 1
-        self._send_report(now + PATIENCE)
-        self.at(now + SPAN, self._report)
+        self._send_report(now + REPORT_TIMEOUT_SECONDS)
+        self.at(now + INTERVAL_SECONDS, self._report)
 
     def _send_report(self, until: float) -> None:
         number, out = self.report_number, self.world.now
@@ -201,7 +201,7 @@
         if op.tries < TRIES and now + wait < op.until:
             self.at(now + wait, self.ask, op)
         else:
-            self.counts["failed"] += 1
+            self.counts["requests_failed"] += 1
 
 
 class Process(Fixed):
@@ -209,19 +209,23 @@
 
     def __init__(self, world: World, name: str, roster: List, store: Store, rate: float) -> None:
         super().__init__(world, name, roster, store, rate)
-        terms = Terms(at_once=64.0, sure=rate, target=1.0, timeout=TIMEOUT)
-        self.cold = ColdStart(world.now, seed=world.seed, name=name, terms=terms, began=world.now)
-        self.beat = self.cold.beats(world.now)
-        self.waits: Waits[Op] = Waits()
+        terms = RateLimits(
+            max_concurrency=64.0, sure_concurrency=rate, latency_objective=1.0, client_timeout=TIMEOUT
+        )
+        self.cold = StartupController(
+            world.now, seed=world.seed, name=name, limits=terms, started_at=world.now
+        )
+        self.beat = self.cold.new_heartbeat(world.now)
+        self.waits: CallBacklog[Op] = CallBacklog()
         self.ends: list[tuple[float, int, Op]] = []
         self.out = False  # a report is
-        self.look_at = world.now + LOOK
+        self.look_at = world.now + TICK_SECONDS
         self.let_at = inf
 
     def begin(self, lived: float) -> None:
         """It has lived for so long, and worked for `STARTS` of it."""
         now = self.world.now
-        self.cold.began = now - lived
+        self.cold.started_at = now - lived
         self.cold.begin(now, STARTS)
         self._look_report()
         self.at(now + self.world.rng.expovariate(self.rate), self._come)
@@ -233,12 +237,12 @@
         now = self.world.now
         if self.out:
             return
-        if self.cold.goes(now):
+        if self.cold.should_report(now):
             self.report_number += 1
             self.out = True
-            self._send_report(self.cold.sent(now))
+            self._send_report(self.cold.report_sent(now))
         else:
-            self.at(max(now, self.beat.moment), self._look_report)
+            self.at(max(now, self.beat.wake_at), self._look_report)
 
     def _answer(self, number: int, out: float, until: float, fault: Fault | None) -> None:
         if number != self.report_number or not self.out:
@@ -247,61 +251,61 @@
         if fault is None:
             self.heard = out
             self.first_listed = min(self.first_listed, now)
-            self.cold.listed(now)
+            self.cold.report_accepted(now)
         else:
-            self.cold.unheard(now)
+            self.cold.report_failed(now)
         self._look_report()
 
     # Calls, as `net/database.py` has them.
 
     def ask(self, op: Op) -> None:
-        now, pace = self.world.now, self.cold.pace
-        repeat = op.id in self.cold.failed
-        pace.asked += not repeat
-        if not self.waits and pace.open and self.cold.may_repeat(now, op.id):
+        now, pace = self.world.now, self.cold.rate_limiter
+        repeat = op.id in self.cold.failed_calls
+        pace.first_attempts += not repeat
+        if not self.waits and pace.is_open and self.cold.may_call(now, op.id):
             return self.send(op)
         if not self.waits.add(now, op.id, op, repeat, op.until):
             self.counts["turned_away"] += 1
             return
-        pace.has(now)
+        pace.has_token(now)
         heappush(self.ends, (op.until, next(self.world.numbers), op))
         self._let_out()
 
     def _let_out(self) -> None:
-        now, pace = self.world.now, self.cold.pace
-        while self.waits and pace.has(now):
-            op = self.waits.next(now, self.cold.budget, pace.need)
-            self.counts["without_leave"] += len(self.waits.spent)
-            self.waits.spent.clear()
+        now, pace = self.world.now, self.cold.rate_limiter
+        while self.waits and pace.has_token(now):
+            op = self.waits.take_next(now, self.cold.budget, pace.min_time_left)
+            self.counts["without_leave"] += len(self.waits.expired)
+            self.waits.expired.clear()
             if op is None:
                 break
             self.send(op)
         if self.waits:
-            moment = max(pace.when(now), self.waits.when(now, self.cold.budget), now + 0.001)
+            moment = max(pace.next_token_at(now), self.waits.next_at(now, self.cold.budget), now + 0.001)
             if moment < self.let_at or self.let_at <= now:
                 self.let_at = moment
                 self.at(moment, self._let_out)
 
     def connects(self) -> bool:
         found = super().connects()
-        self.cold.pace.spend(found)
+        self.cold.rate_limiter.spend(found)
         return found
 
     def over(self, op: Op, out: float, outcome: Outcome) -> None:
         now = self.world.now
-        self.cold.called(now, op.id, outcome, now - out)
+        self.cold.call_ended(now, op.id, outcome, now - out)
         super().over(op, out, outcome)
 
     def _look(self) -> None:
         now = self.world.now
         self.cold.stalled(now, now - self.look_at)
-        self.look_at = now + LOOK
+        self.look_at = now + TICK_SECONDS
         while self.ends and self.ends[0][0] <= now:
             _, _, op = heappop(self.ends)
             if self.waits.get(op.id) is op:
                 self.waits.drop(op.id)
                 self.counts["without_leave"] += 1
-        self.cold.look(now, self.waits.age(now))
+        self.cold.tick(now, self.waits.oldest_age(now))
         self._let_out()
         self.at(self.look_at, self._look)
 
@@ -318,7 +322,7 @@
         self, seed: int, many: int, kind: type[Fixed], rate: float = 10.0, falls: float = 4.0
     ) -> None:
         self.world, self.many, self.kind, self.rate = World(seed), many, kind, rate
-        self.roster = List(self.world, 1.35 * many / SPAN)
+        self.roster = List(self.world, 1.35 * many / INTERVAL_SECONDS)
         self.store = Store(self.world, many * rate, falls)
         self.all: list[Fixed] = []
         self.counts: Counter[str] = Counter()
--- a/fakes/slow_start.py
+++ b/fakes/slow_start.py
@@ -17,11 +17,11 @@
 from typing import Any, NamedTuple
 
 from fakes.dependency import Load, Strength, Taking
-from thymeyoke.admission.settings import Outcome
-from thymeyoke.slow_start.backoff import Waits
-from thymeyoke.slow_start.controller import ColdStart
-from thymeyoke.slow_start.heartbeat import KEEP, PATIENCE, SPAN
-from thymeyoke.slow_start.rate_limiter import LOOK, Terms
+from thymeyoke.admission.events import Outcome
+from thymeyoke.slow_start.backoff import CallBacklog
+from thymeyoke.slow_start.controller import StartupController
+from thymeyoke.slow_start.heartbeat import INTERVAL_SECONDS, REPORT_TIMEOUT_SECONDS
+from thymeyoke.slow_start.rate_limiter import TICK_SECONDS, RateLimits
 
 WAY = 0.001  # seconds to a peer and back
 TOOK = 0.02  # seconds of a call
@@ -56,7 +56,7 @@
         self.now, self.turns = 0.0, count()
         self.heap: list[tuple[float, int, Process | None, Callable[..., None], tuple[Any, ...]]] = []
         self.random = Random(seed)
-        self.taking = Taking(HEADROOM * many / SPAN)
+        self.taking = Taking(HEADROOM * many / INTERVAL_SECONDS)
         usual = max(1.0, many * rate * 0.1)
         self.strength = Strength(FALLS * usual, FALLS * usual, 1.0)
         self.usual = usual
@@ -103,12 +103,12 @@
     def call(self, connects: bool) -> tuple[float, Outcome]:
         if self.gone or not self.strength.up(self.now):
             self.calls.came(self.now)
-            return self.now + WAY, Outcome.UNREACHED
+            return self.now + WAY, Outcome.UNREACHABLE
         taken = all([self.strength.bears(self.now) for _ in range(1 + connects)])
         self.calls.came(self.now)
         if not self.strength.up(self.now):
-            return self.now + WAY, Outcome.CUT
-        return (self.now + WAY + TOOK, Outcome.OK) if taken else (self.now + WAY, Outcome.FULL)
+            return self.now + WAY, Outcome.CONNECTION_LOST
+        return (self.now + WAY + TOOK, Outcome.OK) if taken else (self.now + WAY, Outcome.REJECTED)
 
 
 class Process:
@@ -123,19 +123,19 @@
         now = self.world.now
         self.life += 1
         sure = FALLS * self.world.rate * TOOK  # its part of the calls in hand that the database survives
-        terms = Terms(AT_ONCE, sure, tick=0.002, target=TARGET, timeout=TIMEOUT)
-        self.cold = ColdStart(now, seed, self.name, terms, now - lived)
-        self.waits: Waits[Op] = Waits()
+        terms = RateLimits(AT_ONCE, sure, tick=0.002, latency_objective=TARGET, client_timeout=TIMEOUT)
+        self.cold = StartupController(now, seed, self.name, terms, now - lived)
+        self.waits: CallBacklog[Op] = CallBacklog()
         self.out, self.turn = 0, count()
         self.ready: deque[Op] = deque()  # emptied as calls go out, and after their target
         self.lines: list[float] = []  # idle connections, by when they were used last
-        self.planned = now + LOOK
+        self.planned = now + TICK_SECONDS
         self.let_at = float("inf")  # when waiting calls are looked at next
         self.answered = float("-inf")
         self.world.listed.pop(self.name, None)
         self.cold.begin(now, worked)
         self._soon(0.0, self._beat) if self.world.old else self._next_report()
-        self._soon(LOOK, self._look)
+        self._soon(TICK_SECONDS, self._look)
         if self.world.rate:
             self.world.at(now + self.phase / self.world.rate, None, self._customer, self.life)
 
@@ -153,13 +153,13 @@
 
     def _next_report(self) -> None:
         now = self.world.now
-        self._soon(self.cold.beat.moment - now, self._beat)
+        self._soon(self.cold.heartbeat.wake_at - now, self._beat)
 
     def _beat(self) -> None:
         now = self.world.now
-        if not self.world.old and not self.cold.goes(now):
+        if not self.world.old and not self.cold.should_report(now):
             return self._next_report()
-        given_up = now + PATIENCE if self.world.old else self.cold.sent(now)
+        given_up = now + REPORT_TIMEOUT_SECONDS if self.world.old else self.cold.report_sent(now)
         back, fault = self.world.report()
         if back >= given_up:
             back, fault = given_up, Fault.SILENT
@@ -175,11 +175,11 @@
                 self.world.gaps = max(self.world.gaps, now - self.answered)
             self.answered = now
         if self.world.old:  # the next one a span behind this one, in step
-            return self._soon(sent + SPAN - now, self._beat)
+            return self._soon(sent + INTERVAL_SECONDS - now, self._beat)
         if fault is None:
-            self.cold.listed(now)
+            self.cold.report_accepted(now)
         else:
-            self.cold.unheard(now)
+            self.cold.report_failed(now)
         self._next_report()
 
     # Calls.
@@ -210,9 +210,9 @@
         if self.world.old:
             return self._send(op)
         self._woke()
-        repeat = id in self.cold.failed
-        self.cold.pace.asked += not repeat
-        if not self.waits and self.cold.pace.open and self.cold.may_repeat(now, id):
+        repeat = id in self.cold.failed_calls
+        self.cold.rate_limiter.first_attempts += not repeat
+        if not self.waits and self.cold.rate_limiter.is_open and self.cold.may_call(now, id):
             return self._send(op)
         self.waits.add(now, id, op, repeat, op.until)
         self._soon(op.until - now, self._expire, id, op)
@@ -223,18 +223,18 @@
         self.planned = max(self.planned, self.world.now)
 
     def _let_out(self) -> None:
-        now, pace, budget = self.world.now, self.cold.pace, self.cold.budget
+        now, pace, budget = self.world.now, self.cold.rate_limiter, self.cold.budget
         if now >= self.let_at:
             self.let_at = float("inf")
-        while self.waits and pace.has(now):
-            op = self.waits.next(now, budget, pace.need)
-            for late in self.waits.spent:
+        while self.waits and pace.has_token(now):
+            op = self.waits.take_next(now, budget, pace.min_time_left)
+            for late in self.waits.expired:
                 self._over(late)
-            self.waits.spent.clear()
+            self.waits.expired.clear()
             if op is None:
                 break
             self._send(op)
-        moment = max(pace.when(now), self.waits.when(now, budget)) + 1e-6
+        moment = max(pace.next_token_at(now), self.waits.next_at(now, budget)) + 1e-6
         if self.waits and moment < self.let_at:
             self.let_at = moment
             self._soon(moment - now, self._let_out)
@@ -257,7 +257,7 @@
         if self.lines:
             self.lines.pop()
         if not self.world.old:
-            self.cold.pace.spend(connects)
+            self.cold.rate_limiter.spend(connects)
         back, outcome = self.world.call(connects)
         self._soon(back - now, self._back, op, outcome, now)
 
@@ -266,8 +266,8 @@
         self.out -= 1
         if not self.world.old:
             self._woke()
-            self.cold.called(now, f"{op.born}", outcome, now - sent)
-        if outcome in (Outcome.OK, Outcome.FULL):  # else the connection is lost
+            self.cold.call_ended(now, f"{op.born}", outcome, now - sent)
+        if outcome in (Outcome.OK, Outcome.REJECTED):  # else the connection is lost
             self.lines.append(now)
         if outcome is Outcome.OK:
             self.world.acked += 1
@@ -285,10 +285,10 @@
     def _look(self) -> None:
         if not self.world.old:
             self._woke()
-            self.cold.look(self.world.now, self.waits.age(self.world.now))
+            self.cold.tick(self.world.now, self.waits.oldest_age(self.world.now))
             self._let_out()
-        self.planned = self.world.now + LOOK
-        self._soon(LOOK, self._look)
+        self.planned = self.world.now + TICK_SECONDS
+        self._soon(TICK_SECONDS, self._look)
 
 
 class Found(NamedTuple):
@@ -321,7 +321,7 @@
     """The same, without the first reports, which are not put off."""
     _begin(world)
     world.run(12.0)
-    return SPAN / 4
+    return INTERVAL_SECONDS / 4
 
 
 def crowded_starts(world: World) -> float:
@@ -453,11 +453,11 @@
     calls = world.rate * many
     ended = world.acked + world.failed
     return Found(
-        world.reports.peak(since) / (many / SPAN),
+        world.reports.peak(since) / (many / INTERVAL_SECONDS),
         world.calls.peak(since) / calls if calls else 0.0,
         max(world.listed.values()) if len(world.listed) == many else float("inf"),
         max(world.again.values(), default=0.0) if len(world.again) in (0, many) else float("inf"),
         world.gaps, world.strength.fallen, world.acked / max(1, ended))  # fmt: skip
 
 
-__all__ = ["KEEP", "PLAYS", "Found", "World", "play"]
+__all__ = ["PLAYS", "Found", "World", "play"]
--- a/tests/app_server.py
+++ b/tests/app_server.py
@@ -1,5 +1,5 @@
-"""For the tests: a `Choice` with small round figures and shorthands to feed it, and a server on sockets
-with the toy's stand-ins around it."""
+"""For the tests: an `AdmissionController` with small round figures and shorthands to feed it, and an app
+server on sockets with the fakes of the toy around it."""
 
 from __future__ import annotations
 
@@ -18,66 +18,78 @@
 from examples.fakes import Database, Processor, Roster, Router
 from examples.toy import START
 from fakes.processes import Spent
-from thymeyoke.admission import actions, settings
-from thymeyoke.admission.controller import Choice
-from thymeyoke.admission.settings import Repeat
+from thymeyoke.admission import actions, events, settings
+from thymeyoke.admission.controller import AdmissionController
+from thymeyoke.admission.settings import Idempotency
 from thymeyoke.configuration import start_file
 from thymeyoke.runtime import logs
 from thymeyoke.server import lifecycle
 
-READ = settings.OpType(2.0, 6.0, Repeat.RETRYABLE, 1.0, 0.0, 0.0, True, 0.0, 0.0)
-KEYED = READ._replace(repeat=Repeat.KEYED, key_window=10.0)
-ONCE = READ._replace(repeat=Repeat.NON_RETRYABLE, importance=3.0)
-POORER = READ._replace(poorer_share=0.5)
+READ = settings.RequestClass(2.0, 6.0, Idempotency.IDEMPOTENT, 1.0, 0.0, 0.0, True, 0.0, 0.0)
+KEYED = READ._replace(idempotency=Idempotency.WITH_KEY, idempotency_window=10.0)
+ONCE = READ._replace(idempotency=Idempotency.NOT_IDEMPOTENT, priority_weight=3.0)
+POORER = READ._replace(degraded_value_share=0.5)
 KINDS = (READ, KEYED, ONCE, POORER)
-FACTS: dict[str, Any] = {
-    "seed": 7,
-    "op_types": KINDS,
-    "machine": settings.Machine(4, 4000.0, 4.0, 5.0, 0.002, settings.Halt.NOTHING, ("busy",)),
-    "survival": settings.Survival(8.0, 2.0, False, 0.25, 20.0),
-    "duty": settings.Duty(0.06, 2.0),
-    "dependency": settings.Dependency(settings.Below.TIER, 0.0, 0.0, 0.2),
-    "callers": settings.Callers(3, settings.Signal.FLOOR, 1.0, 1.0, False, 30.0, 0.0, False),
-    "tenants": (),
-}
+SETTINGS = settings.AdmissionSettings(
+    seed=7,
+    request_classes=KINDS,
+    machine=settings.Machine(4, 4000.0, 4.0, 5.0, 0.002, settings.StopEffect.NONE, ("busy",)),
+    overload=settings.OverloadLimits(8.0, 2.0, False, 0.25, 20.0),
+    terms=settings.ServiceTerms(0.06, 2.0),
+    dependency=settings.DependencySettings(settings.DependencyKind.TIER, 0.0, 0.0, 0.2),
+    clients=settings.ClientSettings(3, settings.SignalKind.FLOOR, 1.0, 1.0, False, 30.0, 0.0, False),
+    tenants=(),
+)
 
 
 class Server:
-    """Feeds a `Choice` and keeps what it did last."""
+    """Feeds an `AdmissionController` and keeps its last actions."""
 
     def __init__(self, **changed: Any) -> None:
-        given = dict(FACTS)
+        given = SETTINGS
         for name, value in changed.items():
-            given[name] = given[name]._replace(**value) if isinstance(value, dict) else value
+            section = getattr(given, name)._replace(**value) if isinstance(value, dict) else value
+            given = given._replace(**{name: section})
         self.now = 100.0
-        self.yoke = Choice(now=self.now, **given)
+        self.controller = AdmissionController(self.now, given)
         self.did: list[Any] = []
 
-    def op(self, id: int, type: int = 0, caller: int = 0, **more: Any) -> None:
-        given = {"size": 10.0, "subject": None, "hint": 0.0, "further": False, "write": False,
-                 "repeats": None, "prio": 0.5, "left": 6.0, "unread": 0.0, "tenant": 0, **more}  # fmt: skip
-        self.yoke.take(self.now, settings.Op(id=id, type=type, caller=caller, **given))
+    def op(self, id: int, class_index: int = 0, client: int = 0, **more: Any) -> None:
+        given: dict[str, Any] = {
+            "size": 10.0,
+            "subject": None,
+            "work_hint": 0.0,
+            "is_retry": False,
+            "is_write": False,
+            "original_id": None,
+            "priority": 0.5,
+            "time_left": 6.0,
+            "queueing_delay": 0.0,
+            "tenant": 0,
+        }
+        request = events.Request(id=id, class_index=class_index, client=client, **(given | more))
+        self.controller.submit(self.now, request)
 
     def settle(self, later: float = 0.0) -> list[Any]:
         self.now += later
-        self.did = self.yoke.settle(self.now)
+        self.did = self.controller.next_actions(self.now)
         return self.did
 
     def beat(self, later: float = 0.06, busy: float = 1.0) -> list[Any]:
         self.now += later
-        self.yoke.woke(self.now, 0, (busy, self.yoke.on_core))
+        self.controller.timer_expired(self.now, 0, (busy, self.controller.running.total))
         return self.settle()
 
     def end(self, *ids: int, later: float = 0.0) -> None:
         self.now += later
         for id in ids:
-            self.yoke.ended(self.now, id, settings.Outcome.OK)
+            self.controller.run_ended(self.now, id, events.Outcome.OK)
 
-    def learned(self, took: float, type: int = 0) -> None:
-        """Give an op type its history: one run of `took` seconds."""
-        self.op(-1 - type, type)
+    def learned(self, took: float, class_index: int = 0) -> None:
+        """Give a request class its history: one run of `took` seconds."""
+        self.op(-1 - class_index, class_index)
         self.settle()
-        self.end(-1 - type, later=took)
+        self.end(-1 - class_index, later=took)
         self.settle()
 
     def ids(self, action: type) -> list[Any]:
@@ -195,23 +207,25 @@
                      "naming": self.roster.port}  # fmt: skip
         given = told(**{name: f"127.0.0.1:{port}" for name, port in addresses.items()} | changed)
 
-        def again() -> start_file.Station:
-            if isinstance(self.start, start_file.BadStart):
+        def again() -> start_file.ServerSettings:
+            if isinstance(self.start, start_file.StartFileError):
                 raise self.start
-            return start_file.station(self.start)
+            return start_file.read_server_settings(self.start)
 
         async def run(*, task_status: Any) -> None:
             await lifecycle.serve(
-                start_file.station(given),
-                start_file.names(given["settings"]),
-                start_file.start(7, given["settings"]),
+                start_file.StartFile(
+                    start_file.read_server_settings(given),
+                    start_file.read_request_names(given["settings"]),
+                    start_file.read_admission_settings(7, given["settings"]),
+                ),
                 again,
                 orders,
                 task_status=task_status,
             )
             self.ended.set()
 
-        self.start: dict[str, Any] | start_file.BadStart = (
+        self.start: dict[str, Any] | start_file.StartFileError = (
             given  # what the start file says when it is read again
         )
         self.where = await self.tasks.start(run)
--- a/tests/characterization/test_admission.py
+++ b/tests/characterization/test_admission.py
@@ -13,7 +13,7 @@
 
 from fakes.platform import Platform
 from tests.characterization.recording import DATA, compare, read_lines
-from thymeyoke.simulator import __main__ as simulator
+from thymeyoke.simulator import adapter as simulator
 
 BASE: dict[str, Any] = {
     "request_classes": [
@@ -130,11 +130,11 @@
 
 def exchange(sent: list[bytes], received: list[bytes]) -> Callable[[list[list[Any]]], list[list[Any]]]:
     """An exchange with the program's adapter that writes down both sides."""
-    adapter = simulator.Drill()
+    adapter = simulator.SimulatorAdapter()
 
     def speak(lines: list[list[Any]]) -> list[list[Any]]:
         sent.extend(map(orjson.dumps, lines))
-        actions = adapter.batch(lines[0][1] * 1e-6, lines[1:-1])
+        actions = adapter.handle_batch(lines[0][1] * 1e-6, lines[1:-1])
         received.extend(map(orjson.dumps, [*actions, ["Ack", lines[0][2]]]))
         return actions
 
--- a/tests/characterization/test_codecs.py
+++ b/tests/characterization/test_codecs.py
@@ -19,30 +19,31 @@
 from thymeyoke.affinity import wire as affinity_wire
 from thymeyoke.bgp import attributes
 from thymeyoke.bgp import wire as bgp
-from thymeyoke.configuration.start_file import Address, Names
+from thymeyoke.configuration.start_file import Address, RequestNames
 from thymeyoke.ledger import wire as ledger
 from thymeyoke.ledger.usage_entries import Amounts, Kind, Line
 from thymeyoke.membership import wire as membership_wire
 from thymeyoke.migration import wire as migration_wire
-from thymeyoke.server import dependency, endpoint_registry, messages, processor, routers_wire
+from thymeyoke.runtime import extensions
+from thymeyoke.server import dependency_wire, endpoint_registry, messages, processor_wire, routers_wire
 
 CODES: dict[type, str | None] = {
-    routers_wire.Ask: "request",
-    routers_wire.Check: "check",
-    routers_wire.Cancel: "cancel",
-    routers_wire.Unclear: "unclear",
-    messages.Up: "up",
-    messages.Ended: "ended",
-    messages.Asked: "call",
-    messages.Synced: "synced",
-    messages.Gauges: "gauges",
-    messages.Refused: "refused",
-    messages.Begin: "begin",
-    messages.Interrupt: "interrupt",
-    messages.TakeUp: "resume",
-    messages.Without: "without",
-    messages.Reply: "reply",
-    messages.Gauge: "gauge",
+    routers_wire.RequestMessage: "request",
+    routers_wire.HealthCheckMessage: "check",
+    routers_wire.CancelMessage: "cancel",
+    routers_wire.InvalidRequestMessage: "unclear",
+    messages.ProcessorReady: "up",
+    messages.RunEnded: "ended",
+    messages.DependencyCallRequested: "call",
+    messages.ProcessorSynced: "synced",
+    messages.GaugesRead: "gauges",
+    messages.CommandRejected: "refused",
+    messages.StartRun: "begin",
+    messages.StopRun: "interrupt",
+    messages.ResumeRun: "resume",
+    messages.ContinueWithoutCall: "without",
+    messages.CallResult: "reply",
+    messages.ReadGauges: "gauge",
     bgp.Open: "open",
     bgp.Update: "update",
     bgp.Notification: "notification",
@@ -55,14 +56,14 @@
     ledger.Refused: "refused",
 }
 COMMANDS = {
-    messages.Begin: "begin",
-    messages.Interrupt: "interrupt",
-    messages.TakeUp: "resume",
-    messages.Without: "without",
-    messages.Reply: "reply",
-    messages.Gauge: "gauge",
+    messages.StartRun: "begin",
+    messages.StopRun: "interrupt",
+    messages.ResumeRun: "resume",
+    messages.ContinueWithoutCall: "without",
+    messages.CallResult: "reply",
+    messages.ReadGauges: "gauge",
 }
-NAMES = Names({"look": 0, "buy": 1}, {"north": 0, "south": 1})
+NAMES = RequestNames({"look": 0, "buy": 1}, {"north": 0, "south": 1})
 FIELDS = {
     "since": "1000000",
     "allow": "250",
@@ -141,11 +142,11 @@
         found = []
         for frame in frames:
             data = msgpack.packb(frame)
-            reader = routers_wire.Reader(NAMES)
-            found.append([data.hex(), attempt(lambda r=reader, d=data: r.feed(d)), reader.half()])
+            reader = routers_wire.RequestReader(NAMES)
+            found.append([data.hex(), attempt(lambda r=reader, d=data: r.feed(d)), reader.is_incomplete()])
         for data in (msgpack.packb(frames[0])[:20], b"\xc1", msgpack.packb([0, 7, "alive", [{}]]) * 2):
-            reader = routers_wire.Reader(NAMES)
-            found.append([data.hex(), attempt(lambda r=reader, d=data: r.feed(d)), reader.half()])
+            reader = routers_wire.RequestReader(NAMES)
+            found.append([data.hex(), attempt(lambda r=reader, d=data: r.feed(d)), reader.is_incomplete()])
         # An unclear request is told by its number; the reason is a text for people.
         for row in found:
             if row[1] and isinstance(row[1], list):
@@ -155,34 +156,38 @@
         compare(self, "codecs/router_reading", lines(found))
 
     def test_writing(self) -> None:
-        verdicts = {"ack": messages.Verdict.ACK, "nack": messages.Verdict.NACK, "fail": messages.Verdict.FAIL}
+        verdicts = {
+            "ack": extensions.Verdict.SERVED,
+            "nack": extensions.Verdict.REJECTED,
+            "fail": extensions.Verdict.FAILED,
+        }
         found = []
         for name, verdict in verdicts.items():
             for value in (None, 0.0, 0.35, 12.0):
                 for wait, nowhere in ((0.0, False), (0.25, True), (1.0, False)):
-                    answer = messages.Answer(17, verdict, b"result", value, wait, nowhere)
+                    answer = extensions.Answer(17, verdict, b"result", value, wait, nowhere)
                     found.append([name, value, wait, nowhere, routers_wire.encode(answer).hex()])
         for fit in (True, False):
             for value in (None, 0.5):
                 found.append(
-                    ["check", fit, value, routers_wire.encode(messages.Fitness(18, fit, value)).hex()]
+                    ["check", fit, value, routers_wire.encode(messages.HealthAnswer(18, fit, value)).hex()]
                 )
-        found.append(["leaving", routers_wire.encode(messages.Leaving()).hex()])
+        found.append(["leaving", routers_wire.encode(messages.ShutdownNotice()).hex()])
         compare(self, "codecs/router_writing", lines(found))
 
 
 class ProcessorWire(unittest.TestCase):
     def test_writing(self) -> None:
         commands: list[Any] = [
-            messages.Begin("a1", 1, b"\0body"),
-            messages.Reply("a1", b"rows"),
-            messages.Interrupt("a1"),
-            messages.TakeUp("a1"),
-            messages.Without("a1"),
-            messages.Gauge(),
-            processor.Sync(3),
+            messages.StartRun("a1", 1, b"\0body"),
+            messages.CallResult("a1", b"rows"),
+            messages.StopRun("a1"),
+            messages.ResumeRun("a1"),
+            messages.ContinueWithoutCall("a1"),
+            messages.ReadGauges(),
+            processor_wire.RequestSync(3),
         ]
-        found = [processor.encode(command, ["look", "buy"]) for command in commands]
+        found = [processor_wire.encode(command, ["look", "buy"]) for command in commands]
         compare(self, "codecs/processor_writing", [line.rstrip(b"\n") for line in found])
 
     def test_reading(self) -> None:
@@ -216,7 +221,7 @@
         for one in said:
             data = orjson.dumps(one)
             try:
-                cursor, event = processor.decode(data, 3)
+                cursor, event = processor_wire.decode(data, 3)
                 told = [shown(field) for field in event] if event is not None else None
                 found.append([data.decode(), cursor, CODES[type(event)] if event is not None else None, told])
             except Exception:
@@ -227,9 +232,10 @@
 class DatabaseWire(unittest.TestCase):
     def test_writing(self) -> None:
         for_now = [
-            dependency.encode(messages.Call("a1", 10.0 + span, b"q\r\n"), 10.0) for span in (0.0, 0.0012, 2.5)
+            dependency_wire.encode(messages.StartCall("a1", 10.0 + span, b"q\r\n"), 10.0)
+            for span in (0.0, 0.0012, 2.5)
         ]
-        found = [*for_now, dependency.encode(messages.GiveUp("a1"), 10.0)]
+        found = [*for_now, dependency_wire.encode(messages.AbandonCall("a1"), 10.0)]
         compare(self, "codecs/database_writing", [data.hex().encode() for data in found])
 
     def test_reading(self) -> None:
@@ -251,8 +257,8 @@
         ]
         found = []
         for data in cases:
-            reader = dependency.Reader()
-            found.append([data.hex(), attempt(lambda r=reader, d=data: r.feed(d)), reader.rest.hex()])
+            reader = dependency_wire.ReplyReader()
+            found.append([data.hex(), attempt(lambda r=reader, d=data: r.feed(d)), reader.incomplete.hex()])
         compare(self, "codecs/database_reading", lines(found))
 
 
@@ -274,10 +280,10 @@
             thread.start()
 
             async def report() -> None:
-                client = endpoint_registry.Roster(Address("127.0.0.1", port), "app/1 a")
-                await client._report()
-                client.fit = False
-                await client._report()
+                client = endpoint_registry.EndpointRegistryClient(Address("127.0.0.1", port), "app/1 a")
+                await client._send_report()
+                client.is_healthy = False
+                await client._send_report()
                 await client._close()
 
             anyio.run(report)
--- a/tests/characterization/test_decisions.py
+++ b/tests/characterization/test_decisions.py
@@ -12,38 +12,38 @@
 from thymeyoke.membership import controller as membership
 from thymeyoke.membership.gossip import Noted
 from thymeyoke.migration import controller as migration
-from thymeyoke.slow_start.backoff import Waits
-from thymeyoke.slow_start.controller import ColdStart
-from thymeyoke.slow_start.rate_limiter import Pace
-from thymeyoke.slow_start.retry_budget import Budget
+from thymeyoke.slow_start.backoff import CallBacklog
+from thymeyoke.slow_start.controller import StartupController
+from thymeyoke.slow_start.rate_limiter import CallRateLimiter
+from thymeyoke.slow_start.retry_budget import RetryBudget
 
 SMALL = Size(seed=7, servers=6, nodes=3, tenants=12, customers=60)
 FEW = Size(seed=7, servers=5, nodes=3, tenants=8, customers=20)
 
 # Per class, the stable code of each public method; renamed methods keep their code.
 SLOW_START = {
-    ColdStart: {
+    StartupController: {
         "begin": "begin",
-        "goes": "is_due",
-        "sent": "sent",
-        "listed": "listed",
-        "unheard": "failed",
-        "may_repeat": "may_retry",
-        "called": "call",
-        "look": "look",
+        "should_report": "is_due",
+        "report_sent": "sent",
+        "report_accepted": "listed",
+        "report_failed": "failed",
+        "may_call": "may_retry",
+        "call_ended": "call",
+        "tick": "look",
         "stalled": "stalled",
     },
-    Pace: {
-        "has": "has",
+    CallRateLimiter: {
+        "has_token": "has",
         "spend": "spend",
-        "when": "when",
+        "next_token_at": "when",
         "stalled": "stalled",
-        "stood": "stood",
-        "moved": "moved",
-        "sound": "sound",
+        "clock_stalled": "stood",
+        "address_changed": "moved",
+        "is_healthy": "sound",
     },
-    Waits: {"drop": "drop", "when": "when"},
-    Budget: {"won": "won", "has": "has", "take": "take", "when": "when"},
+    CallBacklog: {"drop": "drop", "next_at": "when"},
+    RetryBudget: {"record_success": "won", "can_retry": "has", "take": "take", "next_retry_at": "when"},
 }
 MEMBERSHIP = {
     "say": "announce",
--- a/tests/characterization/test_files.py
+++ b/tests/characterization/test_files.py
@@ -25,6 +25,7 @@
 
 FILES = DATA / "files"
 PERIOD = 60  # seconds
+SECTIONS = ("seed", "op_types", "machine", "survival", "duty", "dependency", "callers", "tenants")
 
 
 def lines(rows: list[Any]) -> list[bytes]:
@@ -33,18 +34,18 @@
 
 class Configuration(unittest.TestCase):
     def test_start_file(self) -> None:
-        station, names, given = start_file.read(FILES / "start.json")
+        station, names, given = start_file.read_start_file(FILES / "start.json")
         rows = [
             plain(station, {}),
             plain(names, {}),
-            [[name, plain(value, {})] for name, value in given.items()],
+            [[name, plain(value, {})] for name, value in zip(SECTIONS, given, strict=True)],
         ]
         compare(self, "files/start_file", lines(rows))
 
     def test_service_configuration(self) -> None:
         rows = []
         for name in ("server.ini", "node.ini"):
-            for section, value in service_config.read(FILES / name).items():
+            for section, value in service_config.read_service_config(FILES / name).items():
                 text = repr(plain_text(value))
                 rows.append([name, section, text])
         compare(self, "files/service_configuration", lines(rows))
--- a/tests/conformance/test_running.py
+++ b/tests/conformance/test_running.py
@@ -17,9 +17,11 @@
 from examples.fakes import Database, Processor, Router
 from tests.app_server import Place, place, tries
 from tests.conformance.tables import played
-from tests.conformance.test_design import TAKE, none, table, taken_as
-from thymeyoke.admission import controller
-from thymeyoke.admission.controller import Choice, Pace
+from tests.conformance.test_design import by_client, none, submitted_as, table
+from thymeyoke.admission import concurrency
+from thymeyoke.admission.controller import AdmissionController
+from thymeyoke.admission.prediction import WaitPredictor
+from thymeyoke.admission.run_times import RunTimeEstimator
 
 SOON = {"settings__contract__drain_grace_us": 300000}  # a grace of 0.2 s
 KEY = {"method": "buy", "replay": "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"}
@@ -422,13 +424,13 @@
     "-".join(name.split("_")[:2]): case for name, case in vars(Cases).items() if name[0] in "DX"
 }
 MUTANTS: list[tuple[str, object, str, Any]] = [
-    ("D-1", controller, "SHARE", 1.0),
-    ("D-4", Choice, "take", lambda self, now, op: TAKE(self, now, op._replace(tenant=op.caller))),
-    ("D-12", Choice, "_misses", lambda *_: False),
-    ("D-26", Choice, "take", taken_as(repeats=None)),
-    ("D-41", controller, "CROWD_FILL", 9.0),
-    ("X-7", Choice, "_stale", lambda *_: False),
-    ("X-19", Pace, "fade", none),
+    ("D-1", concurrency, "QUOTA_SHARE", 1.0),
+    ("D-4", AdmissionController, "submit", by_client),
+    ("D-12", WaitPredictor, "misses_objective", lambda *_: False),
+    ("D-26", AdmissionController, "submit", submitted_as(original_id=None)),
+    ("D-41", concurrency, "SAFE_OVERLOAD_SHARE", 9.0),
+    ("X-7", WaitPredictor, "is_stale", lambda *_: False),
+    ("X-19", RunTimeEstimator, "fade", none),
 ]
 
 
--- a/tests/fault_injection/defences.py
+++ b/tests/fault_injection/defences.py
@@ -263,7 +263,9 @@
         "a bad file changes nothing",
         "test_bad_input.BadInput.test_a_bad_file_at_sighup_changes_nothing",
         one(
-            "proxy/process.py", 'return logs.say(logging.ERROR, "operators\' file not taken", error)', "raise"
+            "proxy/process.py",
+            'return logs.log_event(logging.ERROR, "service_config_rejected", error)',
+            "raise",
         ),
     ),
     Defence(
@@ -274,15 +276,16 @@
     Defence(
         "a report is given up, and puts off none",
         "test_slow_start.ColdStart.test_list_that_hangs_says_503_and_refuses",
-        one("slow_start/heartbeat.py", "return min(now + self.patience, self.next)", "return now + 1e6"),
+        one("slow_start/heartbeat.py", "return min(now + self.timeout, self.next_at)", "return now + 1e6"),
     ),
     Defence(
         "a failed report waits for its place",
         "test_slow_start.ColdStart.test_list_that_hangs_says_503_and_refuses",
         one(
             "slow_start/heartbeat.py",
-            "        lapse, need = self.heard + KEEP,",
-            "        self.retry = now + 0.1\n        lapse, need = self.heard + KEEP,",
+            "        lapse, need = self.last_answered_at + ENTRY_TTL_SECONDS,",
+            "        self.retry_at = now + 0.1\n"
+            "        lapse, need = self.last_answered_at + ENTRY_TTL_SECONDS,",
         ),
     ),
     Defence(
@@ -296,7 +299,7 @@
             ),
             Change(
                 "thymeyoke/slow_start/retry_budget.py",
-                "        return self.left >= 1 or now >= self.probe_at",
+                "        return self.available >= 1 or now >= self.probe_at",
                 "        return True",
             ),
         ),
--- a/tests/fault_injection/test_affinity.py
+++ b/tests/fault_injection/test_affinity.py
@@ -189,7 +189,7 @@
             await here.ripe()
             here.start("s3")
             begun = here["s3"].started_at
-            while not here["s3"].said("up", begun):
+            while not here["s3"].said("processor_ready", begun):
                 await meets(here, "node-1")
             await visits(here, LATE)  # both nodes have heard of it
             here["node-2"].signal(STOP)
--- a/tests/fault_injection/test_bad_input.py
+++ b/tests/fault_injection/test_bad_input.py
@@ -95,7 +95,7 @@
             one.signal(TERM)
         for one in here.all.values():
             self.assertEqual(await one.gone(), 0)
-            counts = one.said("counts")[-1]
+            counts = one.said("counters")[-1]
             for name in ("members_bad_frame", "members_other_fleet", "members_snapshots_dropped"):
                 self.assertGreater(counts.get(name, 0), 0, f"{one.name}: {name}")
             self.assertEqual([line for line in one.lines() if line.get("level") == "error"], [])
@@ -113,9 +113,9 @@
             ):
                 self.assertNotEqual(bad, good)
                 orders.write_text(bad)
-                before = len(node.said("operators' file not taken"))
+                before = len(node.said("service_config_rejected"))
                 node.signal(AGAIN)
-                await here.until(lambda n=before: len(node.said("operators' file not taken")) == n + 1)
+                await here.until(lambda n=before: len(node.said("service_config_rejected")) == n + 1)
             orders.write_text(good)
             await crowd.answered(4)
             self.keeps(crowd, since)
--- a/tests/fault_injection/test_faulty_links.py
+++ b/tests/fault_injection/test_faulty_links.py
@@ -146,7 +146,7 @@
         async with linked(say=timeline.say) as (_, link):
             await link.play([Fault(0.1, "late", 0.1, 0.5), Fault(0.0, "cut", 0.15)])
             self.assertEqual(link.wrong, {})
-        told = [(line["what"], line["fault"]) for line in timeline.merged([])]
+        told = [(line["event"], line["fault"]) for line in timeline.merged([])]
         self.assertEqual(told, [("fault", "cut"), ("fault", "late"), ("healed", "cut"), ("healed", "late")])
 
     def test_a_seed_draws_the_same_faults(self) -> None:
--- a/tests/fault_injection/test_membership.py
+++ b/tests/fault_injection/test_membership.py
@@ -10,7 +10,7 @@
 from fakes.processes import GO_ON, KILL, STOP, Drill
 from tests.fault_injection.play import Drills, fleet
 
-DEAD = "member now dead"
+DEAD = "member_now_dead"
 FOUND = 15.0  # seconds: a death at some ten members and a period of 0.3, with room for a busy machine
 
 
@@ -109,7 +109,7 @@
             here["s3"].says = "s1"
             here.start("s3")
             await here.listening("s3")
-            await here.until(lambda: here["s3"].said("member conflict"), FOUND, "it goes on under that name")
+            await here.until(lambda: here["s3"].said("member_conflict"), FOUND, "it goes on under that name")
             await anyio.sleep(2 * here.linger)
             crowd.add(12)
             await crowd.answered(4)
@@ -123,7 +123,7 @@
             here["node-2"].says = "node-1"
             here.start("node-2")
             self.assertEqual(await here["node-2"].gone(), 1)
-            told = here["node-2"].lines()[-1]["what"]
+            told = here["node-2"].lines()[-1]["event"]
             self.assertIn("node-1", told)
             await crowd.answered(4)
             self.keeps(crowd, since)
--- a/tests/fault_injection/test_restarts.py
+++ b/tests/fault_injection/test_restarts.py
@@ -57,7 +57,9 @@
         await here.up()
         for one in here.servers:
             if one.name not in later:
-                await here.until(lambda one=one: one.said("up") and here.roster.last(one.name), 20.0)
+                await here.until(
+                    lambda one=one: one.said("processor_ready") and here.roster.last(one.name), 20.0
+                )
         yield here, Routers(here, list(EFFECTS), {KEYED}, DEADLINE)
 
 
@@ -80,7 +82,7 @@
         await anyio.sleep(0.01)
     at = time.time()
     await here.roster.until(lambda: here.roster.last(one.says) > spent.began, PATIENCE)
-    [up] = await here.until(lambda: one.said("up", one.started_at))
+    [up] = await here.until(lambda: one.said("processor_ready", one.started_at))
     return spent.seconds(max(at, up["at"], here.roster.last(one.says)))
 
 
@@ -137,8 +139,8 @@
             lost = {router for router, _, body in routers.asked if body.startswith(killed.name.encode())}
             spent = await again(here, killed)
             for one in leaving:
-                [told] = await here.until(lambda one=one: one.said("leaving"))
-                self.assertGreater(told["in_hand"], len(one.processor.runs))
+                [told] = await here.until(lambda one=one: one.said("graceful_shutdown_started"))
+                self.assertGreater(told["requests_in_flight"], len(one.processor.runs))
                 router, rest = halves[one.name][0]
                 await router.stream.send(rest)
                 let_go(one)
@@ -217,8 +219,8 @@
                 one.signal(TERM)
                 self.assertEqual(await one.gone(), 0)
                 self.assertLess(most[one.name], SOCKETS)
-                counted = one.said("counts")[-1].get("accept_failed", 0)
-                self.assertEqual(counted, len(one.said("accept failed")))
+                counted = one.said("counters")[-1].get("accepts_failed", 0)
+                self.assertEqual(counted, len(one.said("accept_failed")))
             self.sound(here, *most)
 
     async def test_a_link_to_the_processor_that_was_dead_before_it_broke(self) -> None:
@@ -245,11 +247,11 @@
             await routers.ask(old.name)
             await old.processor.until(lambda: old.processor.runs)
             old.signal(TERM)
-            await here.until(lambda: old.said("leaving"))
+            await here.until(lambda: old.said("graceful_shutdown_started"))
             new.listen, new.says = old.listen, old.says
             here.start(new.name)
             let_go(old)
-            await here.until(lambda: new.said("up") or not new.runs)
+            await here.until(lambda: new.said("processor_ready") or not new.runs)
             self.sound(here, *([] if old.runs else [old.name]))
             self.assertTrue(await routers.served(new.name))
             self.assertEqual(await old.gone(), 0)
@@ -297,7 +299,7 @@
             for name, numbers in signals.items():
                 for number in numbers:
                     if number is None:
-                        await here.until(lambda name=name: here[name].said("leaving"))
+                        await here.until(lambda name=name: here[name].said("graceful_shutdown_started"))
                     else:
                         here[name].signal(number)
             for one in here.servers:
--- a/tests/fault_injection/test_slow_start.py
+++ b/tests/fault_injection/test_slow_start.py
@@ -22,14 +22,14 @@
 from fakes.dependency import WINDOW, Strength
 from fakes.processes import PROGRAM, Change, changed
 from fakes.slow_start import Fault
-from thymeyoke.slow_start.heartbeat import KEEP, LATE, SPAN
+from thymeyoke.slow_start.heartbeat import ENTRY_TTL_SECONDS, INTERVAL_SECONDS, LATENESS_TOLERANCE
 
 MANY, RATE = 16, 3.0
 MORE = 8.0  # ops a second to each where half of the calls must still be some in each window
 CALM, HOLD, AWAY, AFTER = 4.0, 3.0, 3.0, 3.0  # seconds
 # What gathers in a hold is asked for behind it as far as its target is not over: here all of it.
 HELD = (HOLD, 2 * HOLD, 2 * HOLD)  # seconds: target latency, op timeout, and the routers' patience
-ILL = KEEP + 1.5  # seconds of a fault of the list: entries have lapsed
+ILL = ENTRY_TTL_SECONDS + 1.5  # seconds of a fault of the list: entries have lapsed
 GONE, WEAK = 2.0, 6.0  # seconds that the database is gone; that it is at half its strength
 WITHIN = 20.0  # seconds: what comes, comes within them on however busy a machine
 OVER = 2.0  # times the steady load, as promised; and three times what chance does to a window
@@ -71,7 +71,7 @@
 
     @property
     def most_reports(self) -> float:
-        return MOST + MANY / SPAN * self.stood
+        return MOST + MANY / INTERVAL_SECONDS * self.stood
 
 
 def peaks(here: Hundreds, since: float, until: float = float("inf")) -> Peaks:
@@ -140,7 +140,7 @@
         ended = time.time()
         back = await here.hold(HOLD, AFTER)
         after = peaks(here, back)
-        window = WINDOW + LATE * SPAN + after.stood
+        window = WINDOW + LATENESS_TOLERANCE * INTERVAL_SECONDS + after.stood
         before = here.list.load.peak(began, ended, window) * window
         return LetGo(before, after, here.turns.longest(began))
 
@@ -274,10 +274,8 @@
     def test_without_the_defence_all_come_at_once(self) -> None:
         """The same play, with late beats that go out at once and calls that do not mind a hold."""
         changes = (
-            Change(
-                "thymeyoke/slow_start/heartbeat.py", "self.missed or self.late(now)", "True or self.late(now)"
-            ),
-            Change("thymeyoke/slow_start/controller.py", "        self.pace.stalled(now)\n", ""),
+            Change("thymeyoke/slow_start/heartbeat.py", "self.missed or is_on_time", "True or is_on_time"),
+            Change("thymeyoke/slow_start/controller.py", "        self.rate_limiter.stalled(now)\n", ""),
         )
         found = played(let_go, *changes)
         after = found.after
@@ -294,7 +292,7 @@
                 for now in (ill.during, ill.back):
                     self.spared(now)
                     self.assertLess(now.reports, now.most_reports + ill.firsts, ill)
-                self.assertLess(ill.rate, OVER * MANY / SPAN, ill)
+                self.assertLess(ill.rate, OVER * MANY / INTERVAL_SECONDS, ill)
 
     def test_list_that_hangs_says_503_and_refuses(self) -> None:
         """For longer than an entry lives. It is nobody's trouble but the list's."""
--- a/tests/test_bgp.py
+++ b/tests/test_bgp.py
@@ -27,7 +27,7 @@
 from thymeyoke.__main__ import main
 from thymeyoke.bgp import peer_connection as speaker_module
 from thymeyoke.bgp import tcp, wire
-from thymeyoke.bgp.advertiser import Announcer
+from thymeyoke.bgp.advertiser import Advertiser
 from thymeyoke.bgp.configuration import Announce, Peer
 from thymeyoke.bgp.presentation import nlri
 from thymeyoke.bgp.session import State, Timer
@@ -36,7 +36,7 @@
 from thymeyoke.configuration.service_config import HostPort
 from thymeyoke.runtime import logs, status_socket
 from thymeyoke.runtime.clock import clock as speaker_clock
-from thymeyoke.runtime.extensions import Refused
+from thymeyoke.runtime.extensions import HostConfigurationError
 from thymeyoke.server import dispatcher, lifecycle
 
 ONE, SIX = "198.51.100.7/32", "2001:db8::7/128"
@@ -71,27 +71,27 @@
         self.path.write_text("\n".join(lines))
         return self.path
 
-    def read(self) -> service_config.Orders:
-        return service_config.read(self.write())
+    def read(self) -> service_config.ServiceConfig:
+        return service_config.read_service_config(self.write())
 
 
 @asynccontextmanager
 async def around(file: File, *peers: BgpPeer, **changed: Any) -> AsyncIterator[Place]:
     """A server with stand-in peers, by the names p0, p1 and so on."""
-    logs.counts.clear()
+    logs.counters.clear()
     try:
         async with anyio.create_task_group() as tasks:
             for at, peer in enumerate(peers):
                 await tasks.start(peer.run)
                 file.peers.setdefault(f"p{at}", {})
                 file.peer(f"p{at}", peer, **file.peers[f"p{at}"])
-            desks: list[dispatcher.Desk] = []
+            desks: list[dispatcher.Dispatcher] = []
 
-            def desk_of(*given: Any) -> dispatcher.Desk:
-                desks.append(dispatcher.Desk(*given))
+            def desk_of(*given: Any) -> dispatcher.Dispatcher:
+                desks.append(dispatcher.Dispatcher(*given))
                 return desks[-1]
 
-            with mock.patch.object(lifecycle, "Desk", desk_of):
+            with mock.patch.object(lifecycle, "Dispatcher", desk_of):
                 async with place(orders=file.read, **changed) as here:
                     here.desk = desks[0]
                     yield here
@@ -100,9 +100,9 @@
         file.path.unlink(missing_ok=True)
 
 
-def announcer(here: Place) -> Announcer:
-    (side,) = here.desk.behind
-    assert isinstance(side, Announcer)
+def announcer(here: Place) -> Advertiser:
+    (side,) = here.desk.extensions.extensions
+    assert isinstance(side, Advertiser)
     return side
 
 
@@ -190,7 +190,9 @@
                     self.assertIn(code, {note.code for note in bad[fault].notes}, fault)
                 self.assertEqual(good[0].levels(ME), {True})
                 self.assertEqual([speakers[name].main.session.flaps for name in ("p0", "p1")], [0, 0])
-                self.assertEqual((logs.counts["connection_error"], logs.counts["announce_error"]), (0, 0))
+                self.assertEqual(
+                    (logs.counters["connection_errors"], logs.counters["announce_error"]), (0, 0)
+                )
 
         anyio.run(run)
 
@@ -212,7 +214,7 @@
                 await until(lambda: shown.others(ip_network(ONE)) == 1)
                 await peer._say(client, bad)
                 await until(lambda: shown.others(ip_network(ONE)) == 0)
-                self.assertEqual(logs.counts["announce_treated_as_withdrawn"], 1)
+                self.assertEqual(logs.counters["announce_treated_as_withdrawn"], 1)
                 self.assertEqual(announcer(here).speakers["p0"].main.session.state, State.ESTABLISHED)
 
         anyio.run(run)
@@ -339,8 +341,8 @@
                     term()
                     await until(lambda: not peer.routes())
                     self.assertLess(spent.seconds(peer.log[-1].at), 1.5)
-                    await until(lambda: any(line.msg == "door shut" for line in captured.records))
-                door = next(line.created for line in captured.records if line.msg == "door shut")
+                    await until(lambda: any(line.msg == "listener_closed" for line in captured.records))
+                door = next(line.created for line in captured.records if line.msg == "listener_closed")
                 self.assertLess(peer.log[-1].at, door)
                 self.assertEqual([seen.what for seen in peer.log[-2:]], ["withdraw"] * 2)
 
@@ -361,7 +363,7 @@
                 with_bad = file.options | {"hold": 3}
                 file.options, good = with_bad, file.options
                 hup()
-                await until(lambda: logs.counts["orders_bad"] == 1)
+                await until(lambda: logs.counters["service_config_errors"] == 1)
                 file.options = good
                 self.assertEqual((len(first.routes()), first.levels(ME)), (1, {True}))
                 gone = file.peers.pop("p1")  # a peer
@@ -375,7 +377,7 @@
                 file.off = True  # all of it
                 hup()
                 await until(lambda: not first.routes() and not second.routes())
-                self.assertEqual(here.desk.behind, ())
+                self.assertEqual(here.desk.extensions.extensions, ())
                 await until(lambda: not os.path.exists(file.options["control"]))
                 file.off = False
                 hup()
@@ -420,7 +422,7 @@
                     await extra.aclose()
                     await peer.cut()
                     await until(lambda: announcer(here).speakers["p0"].main.session.state == State.ACTIVE)
-                self.assertEqual(logs.counts["announce_strangers"], 2)
+                self.assertEqual(logs.counters["announce_strangers"], 2)
 
         anyio.run(run)
 
@@ -464,7 +466,9 @@
 
                 async def say(*command: str) -> tuple[int, str]:
                     done = await anyio.to_thread.run_sync(
-                        lambda: CliRunner().invoke(main, ["announce", *command, "--orders", str(file.path)])
+                        lambda: CliRunner().invoke(
+                            main, ["announce", *command, "--service-config", str(file.path)]
+                        )
                     )
                     return done.exit_code, done.output
 
@@ -479,7 +483,7 @@
                 self.assertEqual((await say("why", "10.0.0.1"))[0], 1)
                 self.assertEqual((await say("why", "here"))[0], 2)
                 found = await anyio.to_thread.run_sync(
-                    status_socket.ask, Path(file.options["control"]), "server"
+                    status_socket.query_status, Path(file.options["control"]), "server"
                 )
                 self.assertEqual([row["level"] for row in found["addresses"]], ["full", "full"])
 
@@ -493,7 +497,9 @@
             waits = Peer("a", where, 1, password="right", passive=True)
             try:
                 tcp.probe(Announce(1, ip_address(ME), (), (), (waits,)))
-            except Refused as error:  # a machine without it: said at the start, in one sentence
+            except (
+                HostConfigurationError
+            ) as error:  # a machine without it: said at the start, in one sentence
                 return self.assertIn("[announce.peer a] password: this machine refuses it", str(error))
             with tcp.listen(where, (waits,)):
                 for password, good in (("right", True), ("wrong", False), ("", False)):
@@ -524,7 +530,9 @@
         anyio.run(run)
         bad = Peer("x", HostPort.parse("127.0.0.1:1"), 1, source=ip_address("192.0.2.77"))
         told = Announce(1, ip_address(ME), (), (), (bad,))
-        with self.assertRaisesRegex(Refused, r"\[announce.peer x\] source: this machine refuses it"):
+        with self.assertRaisesRegex(
+            HostConfigurationError, r"\[announce.peer x\] source: this machine refuses it"
+        ):
             tcp.probe(told)
 
 
--- a/tests/test_client_connection.py
+++ b/tests/test_client_connection.py
@@ -18,18 +18,19 @@
 from examples.fakes import Router
 from tests.app_server import told, until
 from thymeyoke.configuration import start_file
-from thymeyoke.runtime.logs import counts
+from thymeyoke.runtime import extensions
+from thymeyoke.runtime.logs import counters
 from thymeyoke.server import listener, messages, routers_wire
 
-NAMES = start_file.names(told()["settings"])
+NAMES = start_file.read_request_names(told()["settings"])
 IDLE = 30.0
 
 
 class Pair(NamedTuple):
     """A server's connection and its client's end, with nothing else around them."""
 
-    hall: listener.Front
-    connection: listener.Connection
+    hall: listener.Listener
+    connection: listener.ClientConnection
     client: socket.socket
     events: anyio.streams.memory.MemoryObjectReceiveStream[messages.Event]
 
@@ -56,8 +57,8 @@
     for end in (ours, client):
         end.setblocking(False)
     inbox, events = anyio.create_memory_object_stream[messages.Event](64)
-    hall = listener.Front(NAMES, listener.SPARE_DESCRIPTORS + 1, idle, inbox)
-    connection = listener.Connection(ours, NAMES, inbox)
+    hall = listener.Listener(NAMES, listener.SPARE_DESCRIPTORS + 1, idle, inbox)
+    connection = listener.ClientConnection(ours, NAMES, inbox)
     hall.connections.add(connection)
     with inbox, events, client, anyio.fail_after(5):
         async with anyio.create_task_group() as tasks:
@@ -68,7 +69,7 @@
 
 def later(at: Pair, seconds: float) -> None:
     """The look at what is unused or unfinished, as if so much time had passed."""
-    at.hall._look(at.connection.used + seconds)
+    at.hall._sweep(at.connection.used_at + seconds)
 
 
 class Closing(unittest.IsolatedAsyncioTestCase):
@@ -77,15 +78,15 @@
         async with pair() as at:
             half = at.request(3)[:20]
             at.client.send(at.request(1) + at.request(2) + half)
-            await until(lambda: len(at.connection.open) == 2)
-            later(at, listener.HALF_SAID + 1)
+            await until(lambda: len(at.connection.open_requests) == 2)
+            later(at, listener.INCOMPLETE_MESSAGE_SECONDS + 1)
             self.assertFalse(at.connection.scope.cancel_called)
             for number in (1, 2):
-                at.connection.tell(messages.Answer(number, messages.Verdict.ACK))
-                later(at, listener.HALF_SAID + 1)
+                at.connection.send(extensions.Answer(number, extensions.Verdict.SERVED))
+                later(at, listener.INCOMPLETE_MESSAGE_SECONDS + 1)
                 self.assertFalse(at.connection.scope.cancel_called)
-            await until(lambda: not at.connection.owed)
-            later(at, listener.HALF_SAID + 1)
+            await until(lambda: not at.connection.unsent_count)
+            later(at, listener.INCOMPLETE_MESSAGE_SECONDS + 1)
             self.assertEqual([answer[:3] for answer in await at.answers()], [[1, 1, None], [1, 2, None]])
 
     async def test_a_number_that_is_open_is_used_for_nothing_else(self) -> None:
@@ -100,20 +101,20 @@
                 async with pair() as at:
                     at.client.send(first + second)
                     self.assertEqual(await at.answers(), [])
-                    self.assertEqual(at.connection.open, {})
+                    self.assertEqual(at.connection.open_requests, {})
 
     async def test_with_no_idle_span_no_connection_is_ended(self) -> None:
         """Every connection was told `leaving` at once where the settings name none; one that had been told
         and had an answer to be written was closed over it."""
         async with pair(idle=0.0) as at:
-            at.hall.tell(messages.Trim(0.0))
+            at.hall.notify(messages.IdleTimeoutChanged(0.0))
             at.client.send(msgpack.packb([0, 1, "alive", [{}]]))
-            await until(lambda: at.connection.heard)
-            at.connection.tell(messages.Fitness(1, True, None))
-            await until(lambda: not at.connection.owed)
+            await until(lambda: at.connection.has_sent_message)
+            at.connection.send(messages.HealthAnswer(1, True, None))
+            await until(lambda: not at.connection.unsent_count)
             later(at, 1e6)
-            self.assertEqual(at.connection.leaving_since, math.inf)
-            at.connection.leaving_since, at.connection.owed = 0.0, 1
+            self.assertEqual(at.connection.notified_at, math.inf)
+            at.connection.notified_at, at.connection.unsent_count = 0.0, 1
             later(at, 1e6)
             self.assertFalse(at.connection.scope.cancel_called)
 
@@ -126,31 +127,34 @@
             with self.subTest(name):
                 async with pair() as at:
                     at.client.send(at.request(1))
-                    await until(lambda at=at: at.connection.open)
+                    await until(lambda at=at: at.connection.open_requests)
                     arrived = at.events.receive_nowait()
-                    at.connection.tell(messages.Answer(1, messages.Verdict.ACK))
+                    at.connection.send(extensions.Answer(1, extensions.Verdict.SERVED))
                     at.connection.scope.cancel()
                     at.client.send(late)
                     self.assertEqual([answer[:3] for answer in await at.answers()], [[1, 1, None]])
-                    self.assertIsInstance(arrived, messages.Arrived)
+                    self.assertIsInstance(arrived, messages.RequestReceived)
                     self.assertEqual(at.events.statistics().current_buffer_used, 0)
 
     async def test_what_comes_behind_the_end_of_the_sending_half(self) -> None:
         """The client had not read the end yet. What it wrote is dropped, and it is not reset for it, as long
         as something may cross the close; a full table does not wait for that."""
         for evicted in (False, True):
-            with self.subTest(evicted=evicted), mock.patch.object(listener, "LINGER", 3.0, create=True):
+            with (
+                self.subTest(evicted=evicted),
+                mock.patch.object(listener, "CLOSE_LINGER_SECONDS", 3.0, create=True),
+            ):
                 async with pair() as at:
                     await anyio.wait_all_tasks_blocked()
                     if evicted:
-                        self.assertTrue(at.hall._make_room())
+                        self.assertTrue(at.hall._evict_connection())
                     else:
                         at.connection.scope.cancel()
                     self.assertEqual(await at.answers(), [])
                     if not evicted:
                         at.client.send(at.request(1))
                         at.client.shutdown(socket.SHUT_WR)
-                    await until(lambda at=at: at.connection.accepted.fileno() < 0, within=1.0)
+                    await until(lambda at=at: at.connection.socket.fileno() < 0, within=1.0)
                     self.assertEqual(at.client.recv(1), b"")
                     self.assertEqual(at.events.statistics().current_buffer_used, 0)
 
@@ -164,10 +168,10 @@
                     at.client.send(at.request(1))
                     for _ in range(turns):
                         await anyio.sleep(0)
-                    self.assertFalse(at.hall._make_room())
-                    at.hall._look(at.connection.used + listener.HALF_SAID + 1)
-                    await until(lambda at=at: at.connection.open)
-                    at.connection.tell(messages.Answer(1, messages.Verdict.ACK))
+                    self.assertFalse(at.hall._evict_connection())
+                    at.hall._sweep(at.connection.used_at + listener.INCOMPLETE_MESSAGE_SECONDS + 1)
+                    await until(lambda at=at: at.connection.open_requests)
+                    at.connection.send(extensions.Answer(1, extensions.Verdict.SERVED))
                     at.client.shutdown(socket.SHUT_WR)
                     self.assertEqual(len(await at.answers()), 1)
 
@@ -176,25 +180,25 @@
         the reserve for calls and reports went with it. Who is let in is heard, whatever descriptor it got."""
         many, places = 20, 4
         inbox, events = anyio.create_memory_object_stream[messages.Event](64)
-        hall = listener.Front(NAMES, listener.SPARE_DESCRIPTORS + places, IDLE, inbox)
-        counts.clear()
-        hall.door = socket.create_server(("127.0.0.1", 0), backlog=64)
-        with inbox, events, hall.door, ExitStack() as ends:
-            hall.door.setblocking(False)
+        hall = listener.Listener(NAMES, listener.SPARE_DESCRIPTORS + places, IDLE, inbox)
+        counters.clear()
+        hall.socket = socket.create_server(("127.0.0.1", 0), backlog=64)
+        with inbox, events, hall.socket, ExitStack() as ends:
+            hall.socket.setblocking(False)
             async with anyio.create_task_group() as hall.tasks:
                 held = set(os.listdir("/proc/self/fd"))
                 for _ in range(3):
-                    clients = [socket.create_connection(hall.door.getsockname()) for _ in range(many)]
+                    clients = [socket.create_connection(hall.socket.getsockname()) for _ in range(many)]
                     for client in clients:
                         ends.enter_context(client)
                         held.add(str(client.fileno()))
-                    hall._let_in(many)
+                    hall._accept_waiting(many)
                     self.assertLessEqual(len(set(os.listdir("/proc/self/fd")) - held), places + 1)
                     await anyio.wait_all_tasks_blocked()
                 for at, client in enumerate(clients[-places:]):
                     client.sendall(Router(mock.Mock()).frame("look")[1])
                     await until(lambda at=at: events.statistics().current_buffer_used > at)
-                self.assertEqual((len(hall.connections), counts["connection_error"]), (places, 0))
+                self.assertEqual((len(hall.connections), counters["connection_errors"]), (places, 0))
                 hall.tasks.cancel_scope.cancel()
 
 
@@ -223,24 +227,25 @@
         frame = msgpack.unpackb(Router(mock.Mock()).frame("look", b"body", lookup="7f3a")[1])
         frame[3][0]["unknown"] = "field"
         frames = [frame, [0, 8, "alive", [{}]], [2, "cancelRequest", [1]]]
-        expected = routers_wire.Reader(NAMES).feed(b"".join(map(msgpack.packb, frames)))
+        expected = routers_wire.RequestReader(NAMES).feed(b"".join(map(msgpack.packb, frames)))
         self.assertEqual(
-            [type(one) for one in expected], [routers_wire.Ask, routers_wire.Check, routers_wire.Cancel]
+            [type(one) for one in expected],
+            [routers_wire.RequestMessage, routers_wire.HealthCheckMessage, routers_wire.CancelMessage],
         )
         for form in range(36):
             data = b"".join(packed(form, one) for one in frames)
             self.assertEqual(list(msgpack.Unpacker(BytesIO(data))), frames)
             cuts = [[data[:at], data[at:]] for at in range(1, len(data))]
             for parts in [[data], [data[at : at + 1] for at in range(len(data))], *cuts]:
-                reader = routers_wire.Reader(NAMES)
+                reader = routers_wire.RequestReader(NAMES)
                 self.assertEqual([one for part in parts for one in reader.feed(part)], expected)
-                self.assertFalse(reader.half())
+                self.assertFalse(reader.is_incomplete())
 
     def test_what_only_equals_an_integer_is_none(self) -> None:
         for frame in ([False, 7, "alive", [{}]], [0.0, 7, "alive", [{}]], [0, True, "alive", [{}]],
                       [2.0, "cancelRequest", [7]], [2, "cancelRequest", [True]]):  # fmt: skip
-            with self.subTest(frame=frame), self.assertRaises(routers_wire.BadFrame):
-                routers_wire.Reader(NAMES).feed(msgpack.packb(frame))
+            with self.subTest(frame=frame), self.assertRaises(routers_wire.InvalidFrameError):
+                routers_wire.RequestReader(NAMES).feed(msgpack.packb(frame))
 
 
 if __name__ == "__main__":
--- a/tests/test_crossing_messages.py
+++ b/tests/test_crossing_messages.py
@@ -12,14 +12,14 @@
 from examples.fakes import Database, Processor, Roster
 from fakes.dispatcher import KEYED, START, SimulatedDispatcher
 from tests.app_server import told
-from thymeyoke.admission.settings import Outcome
+from thymeyoke.admission.events import Outcome
 from thymeyoke.configuration import start_file
 from thymeyoke.configuration.start_file import Address
-from thymeyoke.runtime.logs import counts
+from thymeyoke.runtime.logs import counters
 from thymeyoke.server import dependency, endpoint_registry, messages, processor
 
-NAMES = start_file.names(told()["settings"])
-SERVED, FAILED, REJECTED = ["acked"], ["failed"], ["nacked"]
+NAMES = start_file.read_request_names(told()["settings"])
+SERVED, FAILED, REJECTED = ["served"], ["failed"], ["rejected"]
 
 
 class Dispatcher(unittest.TestCase):
@@ -45,77 +45,79 @@
                 self.drain(stop, {name: int(value * 1e6) for name, value in seconds.items()})
 
     def drain(self, stop: float, changed: dict[str, int]) -> None:
-        here, broken = self.simulated(stop, **changed), counts["broken_answered_in_time"]
+        here, broken = self.simulated(stop, **changed), counters["invariants_violated_answered_in_time"]
         here.run_until(START + 1.0)
         here.hear(here.arrive("first"))
         notice = here.now
-        here.hear(messages.Leave(notice))
-        while here.now < notice + stop and not here.desk.done:
+        here.hear(messages.ShutdownRequested(notice))
+        while here.now < notice + stop and not here.dispatcher.drain.is_done:
             here.run_until(here.now + 0.005, late=0.004)
-            if not here.desk.done:
+            if not here.dispatcher.drain.is_done:
                 here.hear(here.arrive(f"{here.now}"))
-        self.assertTrue(here.desk.done)
+        self.assertTrue(here.dispatcher.drain.is_done)
         self.assertLess(here.now, notice + stop)
-        self.assertEqual(counts["broken_answered_in_time"], broken)
+        self.assertEqual(counters["invariants_violated_answered_in_time"], broken)
         self.assertEqual({len(answers) for answers in here.answers.values()}, {1})
-        self.assertIn(mock.call(messages.Leaving()), here.front.tell.call_args_list)
+        self.assertIn(mock.call(messages.CloseListener()), here.listener.notify.call_args_list)
 
     def test_nobody_is_let_in_by_a_process_that_is_about_to_end(self) -> None:
         """With no connection at the notice the door once stood open until the end, and over its closing."""
         here = self.simulated()
-        here.front.connections.clear()
-        here.front.tell.side_effect = lambda _: here.front.connections.add("waited in the queue")
-        here.hear(messages.Leave(here.now))
-        self.assertEqual(here.front.tell.call_args_list[-1], mock.call(messages.Leaving()))
+        here.listener.connections.clear()
+        here.listener.notify.side_effect = lambda _: here.listener.connections.add("waited in the queue")
+        here.hear(messages.ShutdownRequested(here.now))
+        self.assertEqual(here.listener.notify.call_args_list[-1], mock.call(messages.CloseListener()))
         here.run_until(START + 1.0)
-        self.assertFalse(here.desk.done)
-        here.front.connections.clear()
-        here.hear(messages.Emptied())
+        self.assertFalse(here.dispatcher.drain.is_done)
+        here.listener.connections.clear()
+        here.hear(messages.AllConnectionsClosed())
         here.run_until(START + 1.1)
-        self.assertTrue(here.desk.done)
+        self.assertTrue(here.dispatcher.drain.is_done)
 
 
 class Keyed(Dispatcher):
     def setUp(self) -> None:
         self.here = self.simulated()
 
-    def keyed(self, id: str, **changed: Any) -> messages.Arrived:
+    def keyed(self, id: str, **changed: Any) -> messages.RequestReceived:
         return self.here.arrive(id, KEYED, **changed)
 
     def test_of_tries_in_a_batch_whose_first_is_turned_away_one_is_run(self) -> None:
         """Their class has run for 0.5 s, and the first has less left than that."""
         here = self.here
-        here.hear(self.keyed("history", key="f" * 32))
+        here.hear(self.keyed("history", idempotency_key="f" * 32))
         here.now += 0.5
-        here.hear(messages.Ended("history", Outcome.OK, b""))
-        here.hear(self.keyed("1", patience=0.3), *(self.keyed(id) for id in "234"))
+        here.hear(messages.RunEnded("history", Outcome.OK, b""))
+        here.hear(self.keyed("1", client_timeout=0.3), *(self.keyed(id) for id in "234"))
         self.assertEqual(here.begun(), ["history", "2"])
-        here.hear(messages.Ended("2", Outcome.OK, b"made"))
+        here.hear(messages.RunEnded("2", Outcome.OK, b"made"))
         self.assertEqual(here.verdicts(*"1234"), [REJECTED, SERVED, SERVED, SERVED])
 
     def test_tries_in_one_batch_with_the_refusal_of_their_run(self) -> None:
         """The third one once found the request that had just ended, and had no answer."""
         here = self.here
         here.hear(self.keyed("1"))
-        here.hear(self.keyed("2"), messages.Refused("1", messages.Begin), self.keyed("3"))
+        here.hear(self.keyed("2"), messages.CommandRejected("1", messages.StartRun), self.keyed("3"))
         self.assertEqual(here.begun(), ["1", "3"])
-        here.hear(messages.Ended("3", Outcome.OK, b"made"))
+        here.hear(messages.RunEnded("3", Outcome.OK, b"made"))
         self.assertEqual(here.verdicts(*"123"), [FAILED, FAILED, SERVED])
 
     def test_a_try_within_the_window_is_not_run_whatever_came_between(self) -> None:
         """By a try with another body whose clock is ahead, and by one behind the window; the processor knows
         neither, and both are read before the last."""
-        here, window = self.here, self.here.desk.kinds[KEYED].key_window
+        here, window = self.here, self.here.dispatcher.classes[KEYED].idempotency_window
         for ahead, moment in [(0.9, -0.5), (0.0, 0.1)]:
             with self.subTest(ahead=ahead):
                 first, between, last = (f"{name} {ahead}" for name in ("first", "between", "last"))
                 key, end = f"{ahead:032}", here.now + window
-                here.hear(self.keyed(first, key=key))
-                here.hear(messages.Ended(first, Outcome.OK, b"made"))
+                here.hear(self.keyed(first, idempotency_key=key))
+                here.hear(messages.RunEnded(first, Outcome.OK, b"made"))
                 here.run_until(end + moment)
-                here.hear(self.keyed(between, key=key, since=here.now + ahead, body=b"other"))
-                here.hear(messages.Refused(between, messages.Begin))
-                here.hear(self.keyed(last, key=key, since=end - 0.01))
+                here.hear(
+                    self.keyed(between, idempotency_key=key, received_at=here.now + ahead, body=b"other")
+                )
+                here.hear(messages.CommandRejected(between, messages.StartRun))
+                here.hear(self.keyed(last, idempotency_key=key, received_at=end - 0.01))
                 self.assertNotIn(last, here.begun())
                 self.assertEqual([answer.body for answer in here.answers[last]], [b"made"])
 
@@ -123,48 +125,55 @@
         here = self.here
         here.hear(self.keyed("1"))
         here.hear(repeat := self.keyed("2"))
-        here.hear(messages.Gone("2", repeat.asker))
+        here.hear(messages.ClientGone("2", repeat.client))
         here.hear(here.arrive("2"))
-        here.hear(messages.Ended("1", Outcome.OK, b"made"))
+        here.hear(messages.RunEnded("1", Outcome.OK, b"made"))
         self.assertEqual(here.verdicts(*"12"), [SERVED, []])
-        here.hear(messages.Ended("2", Outcome.OK, b"its own"))
+        here.hear(messages.RunEnded("2", Outcome.OK, b"its own"))
         self.assertEqual([answer.body for answer in here.answers["2"]], [b"its own"])
 
     def test_a_run_refused_on_two_links_frees_its_core_and_not_its_key(self) -> None:
         """The first refusal is lost with its link, as what has no number is."""
         here = self.here
-        for event in (self.keyed("1"), self.keyed("2"), messages.Down(), messages.Synced(2, frozenset("1"))):
+        for event in (
+            self.keyed("1"),
+            self.keyed("2"),
+            messages.ProcessorDisconnected(),
+            messages.ProcessorSynced(2, frozenset("1")),
+        ):
             here.hear(event)
         self.assertEqual(here.begun(), ["1", "1"])
-        here.hear(messages.Refused("1", messages.Begin))
-        self.assertEqual((here.desk.slips, here.desk.yoke.on_core), ({}, 0))
+        here.hear(messages.CommandRejected("1", messages.StartRun))
+        self.assertEqual((here.dispatcher.in_flight.by_id, here.dispatcher.controller.running.total), ({}, 0))
         here.hear(self.keyed("3"))
         self.assertEqual(here.begun(), ["1", "1"])
         self.assertEqual(here.verdicts(*"123"), [FAILED] * 3)
 
     def test_results_past_the_memory_for_them_are_dropped_and_their_keys_kept(self) -> None:
         here, keys = self.here, [f"{at:032}" for at in range(3)]
-        here.desk.keys.most_bytes = 8192
+        here.dispatcher.retained.max_bytes = 8192
         for key in keys:
-            here.hear(self.keyed(key, key=key))
-            here.hear(messages.Ended(key, Outcome.OK, bytes(4096)))
-        here.hear(*(self.keyed(f"again {key}", key=key) for key in keys))
+            here.hear(self.keyed(key, idempotency_key=key))
+            here.hear(messages.RunEnded(key, Outcome.OK, bytes(4096)))
+        here.hear(*(self.keyed(f"again {key}", idempotency_key=key) for key in keys))
         self.assertEqual(here.begun(), keys)
         self.assertEqual(here.verdicts(*(f"again {key}" for key in keys)), [FAILED, SERVED, SERVED])
         here.run_until(here.now + 60)
-        self.assertEqual((here.desk.keys.bytes, len(here.desk.keys.with_body)), (0, 0))
+        self.assertEqual(
+            (here.dispatcher.retained.size_bytes, len(here.dispatcher.retained.ids_with_body)), (0, 0)
+        )
 
 
 class Peers(unittest.IsolatedAsyncioTestCase):
     async def test_what_waits_for_a_full_mailbox_is_told_though_its_link_is_given_up(self) -> None:
         """A move to another address, or a write that fails, as the dispatcher is behind."""
         inbox, events = anyio.create_memory_object_stream[messages.Event](1)
-        link = processor.Processor(Address("127.0.0.1", 1), NAMES, inbox)
+        link = processor.ProcessorClient(Address("127.0.0.1", 1), NAMES, inbox)
         notice = b'{"event":"complete","cursor":%d,"handle":"1","fate":"OK","lasted":1,"arg":""}'
-        with inbox, events, link.outbox, link.unsent:
+        with inbox, events, link.outbox, link.outbox_reader:
             async with anyio.create_task_group() as tasks:
-                await link._heard(notice % 1)
-                tasks.start_soon(link._heard, notice % 2)
+                await link._handle_line(notice % 1)
+                tasks.start_soon(link._handle_line, notice % 2)
                 await anyio.wait_all_tasks_blocked()
                 tasks.cancel_scope.cancel()
                 with anyio.CancelScope(shield=True), anyio.fail_after(5):
@@ -176,15 +185,15 @@
         async with anyio.create_task_group() as tasks:
             for listener in (old, new):
                 await tasks.start(listener.run)
-            link = processor.Processor(Address("127.0.0.1", old.port), NAMES, inbox)
+            link = processor.ProcessorClient(Address("127.0.0.1", old.port), NAMES, inbox)
 
             async def moved_meanwhile(*where: Any) -> Any:
                 stream = await connect(*where)
                 if where[1] == old.port:
-                    link.tell(messages.Move(Address("127.0.0.1", new.port)))
+                    link.send(messages.AddressChanged(Address("127.0.0.1", new.port)))
                 return stream
 
-            with inbox, events, link.outbox, link.unsent:
+            with inbox, events, link.outbox, link.outbox_reader:
                 with mock.patch.object(anyio, "connect_tcp", moved_meanwhile):
                     tasks.start_soon(link.run)
                     await new.until(lambda: new.heard)
@@ -198,13 +207,13 @@
         async with anyio.create_task_group() as tasks:
             for listener in (silent, last):
                 await tasks.start(listener.run)
-            client = endpoint_registry.Roster(Address("127.0.0.1", silent.port), "n 3")
-            with client.outbox, client.unsent:
+            client = endpoint_registry.EndpointRegistryClient(Address("127.0.0.1", silent.port), "n 3")
+            with client.outbox, client.outbox_reader:
                 tasks.start_soon(client.run)
                 await silent.until(lambda: silent.reports)
                 for port in (*range(1, 8), last.port):
-                    client.tell(messages.Move(Address("127.0.0.1", port)))
-                client.tell(messages.Report(False))
+                    client.send(messages.AddressChanged(Address("127.0.0.1", port)))
+                client.send(messages.HealthChanged(False))
                 await last.until(lambda: last.reports)
                 self.assertEqual(last.reports[0], ("/ns/hosts/n%203", "no"))
                 tasks.cancel_scope.cancel()
@@ -216,14 +225,20 @@
         async with anyio.create_task_group() as tasks:
             for listener in (old, new):
                 await tasks.start(listener.run)
-            client = dependency.Database(Address("127.0.0.1", old.port), inbox)
-            with inbox, events, client.outbox, client.unsent, mock.patch.object(dependency, "MOST", 2):
+            client = dependency.DependencyClient(Address("127.0.0.1", old.port), inbox)
+            with (
+                inbox,
+                events,
+                client.outbox,
+                client.outbox_reader,
+                mock.patch.object(dependency, "MAX_CONNECTIONS", 2),
+            ):
                 tasks.start_soon(client.run)
                 for id in "12":
-                    client.tell(messages.Call(id, time.time() + 30, b""))
+                    client.send(messages.StartCall(id, time.time() + 30, b""))
                 await old.until(lambda: len(old.heard) == 2)
-                client.tell(messages.Move(Address("127.0.0.1", new.port)))
-                client.tell(messages.Call("3", time.time() + 30, b""))
+                client.send(messages.AddressChanged(Address("127.0.0.1", new.port)))
+                client.send(messages.StartCall("3", time.time() + 30, b""))
                 await new.until(lambda: new.heard)
                 self.assertEqual((await events.receive()).outcome, Outcome.OK)
                 tasks.cancel_scope.cancel()
--- a/tests/test_ledger_service.py
+++ b/tests/test_ledger_service.py
@@ -76,15 +76,15 @@
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.folder = Path(folder.name)
-        logs.counts.clear()
+        logs.counters.clear()
 
-    def orders(self, port: int = 0, **options: Any) -> Callable[[], service_config.Orders]:
+    def orders(self, port: int = 0, **options: Any) -> Callable[[], service_config.ServiceConfig]:
         lines = ["[ledger]", f"path = {self.folder / 'book'}", "period = 1"]
         lines += [f"{name} = {value}" for name, value in options.items()]
         lines += ["[ledger.export]", f"receiver = 127.0.0.1:{port}"] if port else []
         path = self.folder / "service.ini"
         path.write_text("\n".join(lines))
-        return lambda: service_config.read(path)
+        return lambda: service_config.read_service_config(path)
 
     @asynccontextmanager
     async def far(self, *faults: str) -> AsyncIterator[Far]:
@@ -129,7 +129,7 @@
                         self.assertGreater(row["octets"], 0)
                 self.assertEqual(found, counted)
                 self.assertEqual(far.receiver.vault.verify(), [])
-                self.assertEqual(logs.counts["ledger_told_unbacked"], 0)
+                self.assertEqual(logs.counters["ledger_told_unbacked"], 0)
 
         for answers in ("after", "before"):
             with self.subTest(answers=answers):
@@ -144,7 +144,7 @@
                 numbers = [await router.ask("buy", b"x", replay=mark) for _ in range(3)]
                 for number in numbers:
                     self.assertIsNone((await router.answer(number))[0])
-                await until(lambda: logs.counts["ledger_entries"] == 3)
+                await until(lambda: logs.counters["ledger_entries"] == 3)
             book = Book(self.folder / "book", 1, begin=False)
             kinds = Counter(entry.line.kind for entry in book.entries())
             free = [entry.amounts for entry in book.entries() if entry.line.kind == Kind.REPEAT]
@@ -170,8 +170,8 @@
                         spent = Spent()
                         self.assertIsNone((await router.answer(await router.ask("look")))[0])
                         self.assertLess(spent.seconds(), 0.4)
-                    self.assertGreater(logs.counts["ledger_told_unbacked"], 5)
-                await until(lambda: logs.counts["ledger_entries"] == 10)
+                    self.assertGreater(logs.counters["ledger_told_unbacked"], 5)
+                await until(lambda: logs.counters["ledger_entries"] == 10)
 
         anyio.run(run)
 
@@ -188,18 +188,19 @@
                             spent = Spent()
                             errors.append((await router.answer(await router.ask("look")))[0])
                             self.assertLess(spent.seconds(), 0.4)
-                        self.assertGreater(logs.counts["ledger_commit_failed"], 0)
+                        self.assertGreater(logs.counters["ledger_commit_failed"], 0)
                     refused = sum(error is not None for error in errors)
                     if full == "refuse":
                         self.assertEqual(
-                            (refused, logs.counts["refused_by_ledger"]), (30 - (30 - refused), refused)
+                            (refused, logs.counters["requests_rejected_by_ledger"]),
+                            (30 - (30 - refused), refused),
                         )
                         self.assertTrue(15 <= refused <= 20, refused)
-                        self.assertEqual(logs.counts["ledger_lost"], 0)
+                        self.assertEqual(logs.counters["ledger_lost"], 0)
                     else:
-                        self.assertEqual((refused, logs.counts["ledger_lost"] > 0), (0, True))
-                    kept = 30 - refused - logs.counts["ledger_lost"]
-                    await until(lambda: logs.counts["ledger_entries"] == kept)
+                        self.assertEqual((refused, logs.counters["ledger_lost"] > 0), (0, True))
+                    kept = 30 - refused - logs.counters["ledger_lost"]
+                    await until(lambda: logs.counters["ledger_entries"] == kept)
                     self.assertIsNone((await router.answer(await router.ask("look")))[0])
 
         for full in ("refuse", "lose"):
@@ -216,9 +217,9 @@
                 router = await here.router()
                 for _ in range(5):
                     self.assertIsNone((await router.answer(await router.ask("look")))[0])
-                self.assertEqual(logs.counts["ledger_told_unbacked"], 5)
+                self.assertEqual(logs.counters["ledger_told_unbacked"], 5)
                 slow.stop()
-                await until(lambda: logs.counts["ledger_entries"] == 5)
+                await until(lambda: logs.counters["ledger_entries"] == 5)
 
         anyio.run(run)
 
@@ -258,7 +259,7 @@
                 await self.ops(here, 40, Counter())
                 await until(lambda: sum(map(rows_of(far), ("acked", "nacked"))) == 40)
                 self.assertGreaterEqual(far.connections, 5)
-                self.assertEqual(logs.counts["ledger_export_halted"], 0)
+                self.assertEqual(logs.counters["ledger_export_halted"], 0)
 
         anyio.run(run)
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -56,12 +56,12 @@
     Verdict,
 )
 from thymeyoke.membership.load import Figures, serves
-from thymeyoke.membership.service import Fleet, incarnation
+from thymeyoke.membership.service import MembershipService, incarnation
 from thymeyoke.membership.view import LOADS_MOST, Load, Snapshot, State, Trust, View
 from thymeyoke.runtime import logs
 from thymeyoke.runtime.clock import clock
+from thymeyoke.runtime.extensions import ServerStatus
 from thymeyoke.server import routers_wire
-from thymeyoke.server.messages import Standing
 
 PAGE = "docs/membership.md"
 QUIET = settings(derandomize=True, deadline=None)
@@ -528,7 +528,7 @@
     ) -> list[wire.Whole]:
         """What a link says, so many octets each time; `why` it is closed."""
         reader, got = wire.Reader(badge, wire.Pool(left)), []
-        with self.assertRaisesRegex(routers_wire.BadFrame, why) if why else nullcontext():
+        with self.assertRaisesRegex(routers_wire.InvalidFrameError, why) if why else nullcontext():
             for at in range(0, len(data), each):
                 got += reader.feed(data[at : at + each])
         reader.close()
@@ -596,9 +596,11 @@
         (whole,) = self.reads(wire.notifications("w", bytes(wire.MESSAGE_MOST), BADGE))
         self.assertEqual(len(whole.body), wire.MESSAGE_MOST)
         reader = wire.Reader(BADGE, wire.Pool())
-        self.assertEqual((reader.feed(w[0]), reader.half()), ([], True))
+        self.assertEqual((reader.feed(w[0]), reader.is_incomplete()), ([], True))
         (whole,) = reader.feed(b"".join(w[1:]))
-        self.assertEqual((len(whole.body), reader.half(), reader.pool.left), (20000, False, wire.POOL))
+        self.assertEqual(
+            (len(whole.body), reader.is_incomplete(), reader.pool.left), (20000, False, wire.POOL)
+        )
 
     def me_30(self) -> None:
         one, next_ = One("x", "y", "z"), 0
@@ -959,19 +961,19 @@
 
     def test_noise(self) -> None:
         for noise in NOISE:
-            with self.subTest(noise[:40]), self.assertRaises(routers_wire.BadFrame):
+            with self.subTest(noise[:40]), self.assertRaises(routers_wire.InvalidFrameError):
                 wire.Reader(BADGE, wire.Pool()).feed(noise)
         for body in BODIES:
-            with self.subTest(body[:40]), self.assertRaises(routers_wire.BadFrame):
+            with self.subTest(body[:40]), self.assertRaises(routers_wire.InvalidFrameError):
                 wire.decode(body)
 
     @QUIET
     @given(st.binary(max_size=200))
     def test_any_octets(self, data: bytes) -> None:
         reader = wire.Reader(BADGE, wire.Pool())
-        with suppress(routers_wire.BadFrame):
+        with suppress(routers_wire.InvalidFrameError):
             reader.feed(data)
-            self.assertTrue(reader.half() or not data)
+            self.assertTrue(reader.is_incomplete() or not data)
 
     def test_there_and_back(self) -> None:
         full = of("x", serves="10.0.0.9:2", since=2.5, loads=(Load("t", 4, 0.5, 1), Load("u", 2)),
@@ -995,7 +997,7 @@
             with NamedTemporaryFile("w", suffix=".ini") as file:
                 file.write("\n".join(("[members]", *lines)))
                 file.flush()
-                return service_config.read(Path(file.name))["members"]
+                return service_config.read_service_config(Path(file.name))["members"]
 
         one = read("address = 127.0.0.1:6001", "others = 127.0.0.1:6002, [::1]:6003", "key = secret")
         self.assertEqual((list(map(str, one.others)), one.period), (["127.0.0.1:6002", "[::1]:6003"], 1.0))
@@ -1009,11 +1011,11 @@
             ((here, "key = " + "k" * 65), "what is given can't be used"),
             ((here, "[members.more]"), "no such section"),
         ):  # fmt: skip
-            with self.subTest(why), self.assertRaisesRegex(service_config.BadOrders, why):
+            with self.subTest(why), self.assertRaisesRegex(service_config.ServiceConfigError, why):
                 read(*lines)
 
     def test_figures(self) -> None:
-        one, up = Figures(1000.0), Standing(True, True, 1010.0, None, 0, 0, 40, 100)
+        one, up = Figures(1000.0), ServerStatus(True, True, 1010.0, None, 0, 0, 40, 100)
         self.assertEqual(one.fields(1000.0), {"state": State.COLD, "room": 0})
 
         def looks(at: float, accepted: int = 120, **changed: Any) -> tuple[State, int]:
@@ -1027,7 +1029,7 @@
         self.assertFalse(one.asked(1035.0))
         self.assertEqual([one.fields(at)["room"] for at in (1035.1, 1040.0)], [60, 0])  # no answer
         self.assertTrue(one.asked(1040.0))
-        self.assertEqual(looks(1041.0, linked=False), (State.SERVING, 0))
+        self.assertEqual(looks(1041.0, is_processor_connected=False), (State.SERVING, 0))
         self.assertEqual(looks(1042.0), (State.SERVING, 60))
         one.leaves()
         self.assertEqual(looks(1043.0), (State.LEAVING, 0))
@@ -1048,9 +1050,9 @@
     return Members(address=free(), others=others, period=PERIOD, **more)
 
 
-def fleet(name: str, *others: Fleet, **more: Any) -> Fleet:
+def fleet(name: str, *others: MembershipService, **more: Any) -> MembershipService:
     section = told(*(other.told.address for other in others), **more)
-    return Fleet(section, Snapshot(name, True, incarnation(), 0, State.SERVING, ""), 5)
+    return MembershipService(section, Snapshot(name, True, incarnation(), 0, State.SERVING, ""), 5)
 
 
 async def until(true: Callable[[], Any], within: float = 10.0) -> Any:
@@ -1061,7 +1063,7 @@
 
 
 @asynccontextmanager
-async def running(*ones: Fleet, meet: bool = True) -> AsyncIterator[anyio.abc.TaskGroup]:
+async def running(*ones: MembershipService, meet: bool = True) -> AsyncIterator[anyio.abc.TaskGroup]:
     """Until the end of the block, which begins once all see all."""
     async with anyio.create_task_group() as tasks:
         for one in ones:
@@ -1093,26 +1095,26 @@
     return stream
 
 
-def sees(one: Fleet, name: str) -> bool:
+def sees(one: MembershipService, name: str) -> bool:
     member = one.view().members.get(name)
     return bool(member and member.trust == Trust.SURE and member.snapshot.state == State.SERVING)
 
 
-def all_see(*ones: Fleet) -> bool:
+def all_see(*ones: MembershipService) -> bool:
     return all(sees(one, other.membership.own.name) for one in ones for other in ones)
 
 
-def shown(one: Fleet, name: str) -> Snapshot:
+def shown(one: MembershipService, name: str) -> Snapshot:
     return one.view().members[name].snapshot
 
 
 def counted(what: str) -> int:
-    return logs.counts["members_" + what]
+    return logs.counters["members_" + what]
 
 
 class Sockets(unittest.IsolatedAsyncioTestCase):
     def setUp(self) -> None:
-        logs.counts.clear()
+        logs.counters.clear()
 
     async def test_three(self) -> None:
         a = fleet("a", key="secret")
@@ -1199,9 +1201,9 @@
             await until(lambda: shown(watch, name).state == State.GONE)
 
     async def test_probe(self) -> None:
-        extension.probe(told())
-        with self.assertRaises(extension.Refused):
-            extension.probe(Members(address=service_config.HostPort.parse("192.0.2.77:6001")))
+        extension.check_host(told())
+        with self.assertRaises(extension.HostConfigurationError):
+            extension.check_host(Members(address=service_config.HostPort.parse("192.0.2.77:6001")))
 
     async def test_bounds_of_links(self) -> None:
         self.assertEqual(
--- a/tests/test_migration.py
+++ b/tests/test_migration.py
@@ -977,7 +977,7 @@
             with self.subTest(moves=moves, period=period), NamedTemporaryFile("w", suffix=".ini") as file:
                 file.write(text)
                 file.flush()
-                terms = service_config.read(Path(file.name))["moves"].terms
+                terms = service_config.read_service_config(Path(file.name))["moves"].terms
                 self.assertEqual(terms.settle, moves)
                 self.assertAlmostEqual(quorum.asking(terms), asking)
                 self.assertAlmostEqual(quorum.beginning(terms), beginning)
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -41,14 +41,14 @@
 from thymeyoke.proxy.client_session import Guests, Place
 from thymeyoke.proxy.configuration import Node as NodeTold
 from thymeyoke.proxy.configuration import Service
-from thymeyoke.proxy.connection_admission import Table, Waiter
+from thymeyoke.proxy.connection_admission import ConnectionTable, WaitingConnection
 from thymeyoke.proxy.load import Rates
 from thymeyoke.proxy.process import Node
 from thymeyoke.proxy.relay import KERNEL, WINDOW, Relays
 from thymeyoke.proxy.upstream_connector import Connects, Next, Open
 from thymeyoke.runtime import logs
 from thymeyoke.runtime.clock import clock
-from thymeyoke.runtime.extensions import Refused
+from thymeyoke.runtime.extensions import HostConfigurationError
 
 PAGE = "docs/proxy.md"
 MOST = 8  # of the tables here: a tenant's share is 2
@@ -98,36 +98,36 @@
 
 def room() -> Any:
     """A table. Connections are told by their tenants, a digit each, and numbered as they come."""
-    table, who = Table(MOST), list[Any]()
+    table, who = ConnectionTable(MOST), list[Any]()
 
     def come(tenants: str, at: float, spoke: bool = True) -> str:
         """For each `+`, `-` where it is closed at once, or who is pushed out for it."""
         found = ""
         for tenant in tenants:
-            waiter, pushed = table.come(at, int(tenant), None)
+            waiter, pushed = table.add(at, int(tenant), None)
             if waiter is not None and spoke:
-                table.spoke(at, waiter)
+                table.first_bytes_received(at, waiter)
             found += "-" if waiter is None else "+" if pushed is None else str(who.index(pushed))
             who.append(waiter)
         return found
 
     def let(what: str = "", at: float = 0.0) -> str:
         """Those that are let in, in order."""
-        return "".join(str(one.key) for _ in range(100) if (one := table.next()) is not None)
+        return "".join(str(one.tenant) for _ in range(100) if (one := table.admit_next()) is not None)
 
     return SimpleNamespace(
         come=come, let=let, mute=lambda what, at: come(what, at, False),
         full=lambda what, at: come("1" * MOST, at) + let(),
-        back=lambda what, at: [table.give_back(1) for _ in range(int(what or 1))],
-        size=lambda what, at: setattr(table, "most", int(what)),
-        spoke=lambda what, at: table.spoke(at, who[int(what)]),
-        drop=lambda what, at: table.drop(who[int(what)]),
-        held=lambda what, at: listed(table.held),
-        room=lambda what, at: listed({tenant: len(them) for tenant, them in table.room.items()}),
+        back=lambda what, at: [table.release(1) for _ in range(int(what or 1))],
+        size=lambda what, at: setattr(table, "max_connections", int(what)),
+        spoke=lambda what, at: table.first_bytes_received(at, who[int(what)]),
+        drop=lambda what, at: table.remove(who[int(what)]),
+        held=lambda what, at: listed(table.held_by_tenant),
+        room=lambda what, at: listed({tenant: len(them) for tenant, them in table.waiting_by_tenant.items()}),
         counts=lambda what, at: "/".join(map(str, (  # held, waiting, silent, and those that have spoken
-            table.many, table.waiting, len(table.silent), sum(map(len, table.hold.lines.values()))))),
-        late=lambda what, at: listed(map(who.index, table.late(at))),
-        next=lambda what, at: f"{table.next_late():g}", close=lambda what, at: None,
+            table.held, table.waiting, len(table.silent), sum(map(len, table.queue.lines.values()))))),
+        late=lambda what, at: listed(map(who.index, table.expired(at))),
+        next=lambda what, at: f"{table.next_expiry():g}", close=lambda what, at: None,
     )  # fmt: skip
 
 
@@ -212,10 +212,10 @@
         (self.customer, self.near), (self.server, near) = self.tcp(), self.tcp()
         self.relay = self.relays.begin(self.near, near, self.ended)
         self.said = self.sent = self.overs = 0  # octets of `answer`, of `fill`; how often it was told its end
-        logs.counts.clear()
+        logs.counters.clear()
         self.end = lambda what, at: getattr(self, what).shutdown(socket.SHUT_WR)
         self.quit = lambda what, at: getattr(self, what).close()
-        self.counted = lambda what, at: logs.counts[what]
+        self.counted = lambda what, at: logs.counters[what]
         self.stand = lambda what, at: self.relays.sweep(self.relays.swept_at + at)  # this process stood still
         self.dropped = lambda what, at: 1 << 20 <= self.relay.ways[0].dropped < (1 << 20) + WINDOW
         self.writing = lambda what, at: self.all(what, at, 512)
@@ -329,7 +329,7 @@
         relays.swept_at = since
         for span in (*range(1, int(at), 4), at - 0.01, at):
             relays.sweep(since + span)
-            found.append((not (relays.every or relays.rests), logs.counts[counter]))
+            found.append((not (relays.every or relays.rests), logs.counters[counter]))
         return self.overs == 1 and found == [*[(False, 0)] * (len(found) - 1), (True, 1)]
 
     def close(self, what: str = "", at: float = 0.0) -> None:
@@ -412,7 +412,7 @@
     await ends.answer("whole")
     other = Ends(ends.relays)
     await other.answer("whole")
-    t.assertEqual((list(ends.relays.rests), logs.counts["node_rest_late"]), ([other.relay.ways[0]], 1))
+    t.assertEqual((list(ends.relays.rests), logs.counters["node_rest_late"]), ([other.relay.ways[0]], 1))
     t.assertEqual((ends.near.fileno(), ends.overs, other.overs), (-1, 1, 1))
     other.close()
 
@@ -471,7 +471,7 @@
         now, connects = clock(), guests.connects
         for at in (0.0, 1.3, 50.0):
             guests.settle(now + at)
-        self.assertEqual((guests.table.many, connects.out, connects.tries, guests.every), (0, {}, {}, {}))
+        self.assertEqual((guests.table.held, connects.out, connects.tries, guests.every), (0, {}, {}, {}))
         self.assertEqual(said, ["seat", "seat"])
         for far in all_far:
             with suppress(ConnectionResetError):  # what it said was not read
@@ -519,7 +519,7 @@
     async def test_no_descriptor_for_a_listener(self) -> None:
         none = OSError(errno.EMFILE, "Too many open files")
         with mock.patch.object(listener.socket, "socket", side_effect=none), self.assertRaisesRegex(
-                Refused, r"north\] address: .* \(Too many open files\); give"):  # fmt: skip
+                HostConfigurationError, r"north\] address: .* \(Too many open files\); give"):  # fmt: skip
             listener.Service(SERVICE.told, 0, lambda *_: None).open(1)
 
 
@@ -537,7 +537,7 @@
         with limits, mock.patch.object(process.resource, "setrlimit") as sets:
             try:
                 process.probe(orders(connections, services))
-            except Refused as error:
+            except HostConfigurationError as error:
                 t.assertTrue(why)
                 t.assertRegex(str(error), rf"^\[node\] connections: .*{why}")
                 continue
@@ -561,7 +561,7 @@
     def told(what: str, at: float) -> str:
         """Its room, which of the seven it tells, how many it does not, and lines."""
         lines.clear()
-        with mock.patch.object(logs, "say", lambda level, what, *_, **__: lines.append(what)):
+        with mock.patch.object(logs, "log_event", lambda level, what, *_, **__: lines.append(what)):
             node._say(clock())
         assert len(said["holds"]) <= 1024
         seven = listed(one for one in said["holds"] if one > "t1022")
@@ -655,25 +655,27 @@
 
     def test_table(self) -> None:
         for seed in range(30):
-            rng, table, silent = Random(seed), Table(MOST), list[Waiter]()
+            rng, table, silent = Random(seed), ConnectionTable(MOST), list[WaitingConnection]()
             for step in range(400):
                 match rng.randrange(5):
                     case 0 | 1:
-                        waiter, pushed = table.come(step, rng.choice((1, 1, 1, 2, 3, 4, 5)), None)
+                        waiter, pushed = table.add(step, rng.choice((1, 1, 1, 2, 3, 4, 5)), None)
                         silent = [one for one in (*silent, waiter) if one is not None and one is not pushed]
                     case 2 if silent:
-                        table.spoke(step, silent.pop(rng.randrange(len(silent))))
+                        table.first_bytes_received(step, silent.pop(rng.randrange(len(silent))))
                     case 3:
                         for _ in range(rng.randrange(3)):
-                            table.next()
-                    case 4 if table.held:
-                        table.give_back(rng.choice(list(table.held)))
-                waits = [one for them in table.room.values() for one in them]
-                spoken = [one for line in table.hold.lines.values() for one in line]
+                            table.admit_next()
+                    case 4 if table.held_by_tenant:
+                        table.release(rng.choice(list(table.held_by_tenant)))
+                waits = [one for them in table.waiting_by_tenant.values() for one in them]
+                spoken = [one for line in table.queue.lines.values() for one in line]
                 self.assertEqual(sorted(map(id, waits)), sorted(map(id, [*silent, *spoken])))
                 self.assertEqual((table.waiting, set(table.silent)), (len(waits), set(silent)))
-                self.assertEqual(table.many, sum(table.held.values()))
-                self.assertTrue(table.many <= MOST and table.waiting <= MOST and 0 not in table.held.values())
+                self.assertEqual(table.held, sum(table.held_by_tenant.values()))
+                self.assertTrue(
+                    table.held <= MOST and table.waiting <= MOST and 0 not in table.held_by_tenant.values()
+                )
 
     def test_connects(self) -> None:
         for seed in range(30):
@@ -781,12 +783,25 @@
                 await line.until(lambda line=line: line.closed, 8.0)
             for command, code, out, error in (
                 # Under the name of another one that lives.
-                (("node", "--orders", orders), 1, "^$", r"^Error: .* name: another node answers at .*\n$"),
-                (("moves", "show", "--control", here.folder / "none.sock"), 1, "^$",
-                 r"^Error: no node answers at .*none.sock .*\n$"),
-                (("moves", "show", "--orders", orders), 0,
-                 "^node-1 holds north\nnode-1 recommends, and moves nothing", "^$"),
-            ):  # fmt: skip
+                (
+                    ("node", "--service-config", orders),
+                    1,
+                    "^$",
+                    r"^Error: .* name: another node answers at .*\n$",
+                ),
+                (
+                    ("moves", "show", "--control", here.folder / "none.sock"),
+                    1,
+                    "^$",
+                    r"^Error: no node answers at .*none.sock .*\n$",
+                ),
+                (
+                    ("moves", "show", "--service-config", orders),
+                    0,
+                    "^node-1 holds north\nnode-1 recommends, and moves nothing",
+                    "^$",
+                ),
+            ):
                 with self.subTest(command=command):
                     found = await self.said(*command)
                     self.assertEqual(found[0], code)
@@ -799,7 +814,7 @@
                 line = await meets.line(40)
                 await meets.op(line)
                 first.signal(TERM)
-                await here.until(lambda: first.said("leaving"))
+                await here.until(lambda: first.said("graceful_shutdown_started"))
                 await meets.op(line)
                 await line.stream.aclose()
                 self.assertEqual(await first.gone(), 0)
@@ -824,16 +839,14 @@
                 with self.subTest(text=text[-60:]):
                     orders.write_text(text)
                     node.signal(AGAIN)
-                    await here.until(
-                        lambda many=many: len(node.said("operators' file not taken")) == many, 8.0
-                    )
+                    await here.until(lambda many=many: len(node.said("service_config_rejected")) == many, 8.0)
                     await meets.op(south, "south")
                     await meets.visit(12)
-            self.assertEqual(len(node.said("operators' file read again")), 0)
+            self.assertEqual(len(node.said("service_config_reloaded")), 0)
             kept = good[: good.index("[node.service south]")]
             orders.write_text(f"{kept}{east}address = 127.0.0.1:{other}\n")
             node.signal(AGAIN)
-            await here.until(lambda: node.said("operators' file read again"), 8.0)
+            await here.until(lambda: node.said("service_config_reloaded"), 8.0)
             await meets.op(south, "south")  # its connection stays
             with self.assertRaises(OSError):
                 await meets.line(11, tenant="south")
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -22,14 +22,27 @@
 from fakes.processes import Spent
 from tests.app_server import place, steady, told, until
 from thymeyoke.admission import actions as act
-from thymeyoke.admission.controller import Choice
-from thymeyoke.admission.settings import Outcome
+from thymeyoke.admission.controller import AdmissionController
+from thymeyoke.admission.events import Outcome
 from thymeyoke.configuration import start_file
-from thymeyoke.runtime import invariants, logs
-from thymeyoke.server import dependency, dispatcher, listener, messages, processor, routers_wire
-from thymeyoke.server.idempotency import Keys, Result
-
-NAMES = start_file.names(told()["settings"])
+from thymeyoke.runtime import extensions, invariants, logs
+from thymeyoke.server import (
+    client_connection,
+    dependency,
+    dependency_connection,
+    dependency_wire,
+    dispatcher,
+    drain,
+    listener,
+    messages,
+    processor,
+    processor_wire,
+    routers_wire,
+    unacknowledged,
+)
+from thymeyoke.server.idempotency import IdempotencyCache, Result
+
+NAMES = start_file.read_request_names(told()["settings"])
 REF = "9b1f03aa5c7e2d41"
 FIELDS = {"ref": REF, "since": "1764576000123", "sender": "4", "project": "south", "allow": "480",
           "room": "24.5", "class_rank": "0.625"}  # fmt: skip
@@ -47,16 +60,18 @@
         body = bytes(range(256))
         frames = [[0, 7, "buy", [FIELDS | KEY, body]], [0, 8, "alive", [{}]], [2, "cancelRequest", [7]],
                   [0, 9, "look", [FIELDS | {"lookup": "7f3a"}, b""]]]  # fmt: skip
-        order = messages.Order(REF, 1, 1, 4, 1764576000.123, 0.48, 24.5, 0.625, KEY["replay"], None, body)
-        second = order._replace(type=0, key=None, subject="7f3a", body=b"")
+        order = messages.RequestHeader(
+            REF, 1, 1, 4, 1764576000.123, 0.48, 24.5, 0.625, KEY["replay"], None, body
+        )
+        second = order._replace(class_index=0, idempotency_key=None, subject="7f3a", body=b"")
         expected = [
-            routers_wire.Ask(7, order),
-            routers_wire.Check(8),
-            routers_wire.Cancel(7),
-            routers_wire.Ask(9, second),
+            routers_wire.RequestMessage(7, order),
+            routers_wire.HealthCheckMessage(8),
+            routers_wire.CancelMessage(7),
+            routers_wire.RequestMessage(9, second),
         ]
         for parts in pieces(b"".join(map(msgpack.packb, frames))):
-            reader = routers_wire.Reader(NAMES)
+            reader = routers_wire.RequestReader(NAMES)
             self.assertEqual([message for part in parts for message in reader.feed(part)], expected)
 
     def test_what_is_not_told_everywhere(self) -> None:
@@ -69,18 +84,20 @@
             ({"allow": "480"}, (0.48, 0.0, False)),
         ]
         for more, said in cases:
-            (ask,) = routers_wire.Reader(NAMES).feed(msgpack.packb([0, 7, "look", [bare | more, b""]]))
-            self.assertIsInstance(ask, routers_wire.Ask)
-            self.assertEqual((ask.order.patience, round(ask.order.work, 6), ask.order.further), said)
+            (ask,) = routers_wire.RequestReader(NAMES).feed(msgpack.packb([0, 7, "look", [bare | more, b""]]))
+            self.assertIsInstance(ask, routers_wire.RequestMessage)
+            self.assertEqual(
+                (ask.header.client_timeout, round(ask.header.work_hint, 6), ask.header.is_retry), said
+            )
 
     def test_an_idle_connection_holds_no_decoder(self) -> None:
         """Each takes some 50 KB: with hundreds of connections held open that was most of the memory."""
-        reader, data = routers_wire.Reader(NAMES), msgpack.packb([0, 8, "alive", [{}]])
+        reader, data = routers_wire.RequestReader(NAMES), msgpack.packb([0, 8, "alive", [{}]])
         for _ in range(2):
-            self.assertEqual((reader.feed(data[:5]), reader.half()), ([], True))
+            self.assertEqual((reader.feed(data[:5]), reader.is_incomplete()), ([], True))
             self.assertIsNotNone(reader.unpacker)
-            self.assertEqual(reader.feed(data[5:]), [routers_wire.Check(8)])
-            self.assertEqual((reader.half(), reader.unpacker), (False, None))
+            self.assertEqual(reader.feed(data[5:]), [routers_wire.HealthCheckMessage(8)])
+            self.assertEqual((reader.is_incomplete(), reader.unpacker), (False, None))
 
     def test_ops_that_are_not_understood_can_be_answered(self) -> None:
         changes = [{"allow": "soon"}, {"allow": "0"}, {"room": "nan"}, {"room": "-1"}, {"room": "2000"},
@@ -93,8 +110,8 @@
                    [0, 3, "look", []], [0, 3, "look", [FIELDS, "text"]], [0, 3, "alive", []]]  # fmt: skip
         for frame in frames:
             with self.subTest(frame=str(frame)[-60:]):
-                (message,) = routers_wire.Reader(NAMES).feed(msgpack.packb(frame))
-                self.assertEqual((type(message), message[0]), (routers_wire.Unclear, 3))
+                (message,) = routers_wire.RequestReader(NAMES).feed(msgpack.packb(frame))
+                self.assertEqual((type(message), message[0]), (routers_wire.InvalidRequestMessage, 3))
 
     def test_what_is_no_frame_ends_the_connection(self) -> None:
         frames = [5, "text", [], [0, "7", "look", [FIELDS, b""]], [2, "dance", [7]], {"a": 1}, [7, 1, 2, 3],
@@ -104,22 +121,22 @@
         level = b"\x82\xa1a\xd9\xff" + b"x" * 255 + b"\xa1b"  # a map whose second value is one more such map
         bytes_ = [b"\xc1", b"GET / HTTP/1.1\r\n\r\n", b"\x94\x00\x01\xa1\xff", b"\x94\x00\x01" + level * 70]
         for data in [*map(msgpack.packb, frames), *bytes_]:
-            with self.subTest(data=data[:20]), self.assertRaises(routers_wire.BadFrame):
-                reader = routers_wire.Reader(NAMES)
+            with self.subTest(data=data[:20]), self.assertRaises(routers_wire.InvalidFrameError):
+                reader = routers_wire.RequestReader(NAMES)
                 for _ in range(40):
                     reader.feed(data)
 
     def test_answers(self) -> None:
-        ack, nack, fail = messages.Verdict.ACK, messages.Verdict.NACK, messages.Verdict.FAIL
+        ack, nack, fail = extensions.Verdict.SERVED, extensions.Verdict.REJECTED, extensions.Verdict.FAILED
         cases = [
-            (messages.Answer(7, ack, b"\xff\x00", 0.25), [1, 7, None, [b"\xff\x00", {"pressure": "0.25"}]]),
-            (messages.Answer(7, ack), [1, 7, None, [b"", {}]]),
-            (messages.Answer(7, nack, wait=0.25, nowhere_else=True),
+            (extensions.Answer(7, ack, b"\xff\x00", 0.25), [1, 7, None, [b"\xff\x00", {"pressure": "0.25"}]]),
+            (extensions.Answer(7, ack), [1, 7, None, [b"", {}]]),
+            (extensions.Answer(7, nack, retry_after=0.25, is_terminal=True),
              [1, 7, ["Shed", {"cooldown": "250", "nowhere": "1"}], None]),
-            (messages.Answer(7, nack, value=0.0), [1, 7, ["Shed", {"pressure": "0"}], None]),
-            (messages.Answer(7, fail), [1, 7, ["Fault", {}], None]),
-            (messages.Fitness(8, True, 1.5), [1, 8, None, [True, {"pressure": "1.5"}]]),
-            (messages.Leaving(), [2, "leaving", []]),
+            (extensions.Answer(7, nack, backpressure=0.0), [1, 7, ["Shed", {"pressure": "0"}], None]),
+            (extensions.Answer(7, fail), [1, 7, ["Fault", {}], None]),
+            (messages.HealthAnswer(8, True, 1.5), [1, 8, None, [True, {"pressure": "1.5"}]]),
+            (messages.ShutdownNotice(), [2, "leaving", []]),
         ]  # fmt: skip
         for what, frame in cases:
             with self.subTest(what=what):
@@ -128,57 +145,71 @@
     def test_commands_and_notices(self) -> None:
         """Bodies of any bytes travel as base64; `goon` takes up a paused run and nothing else."""
         cases = [
-            (messages.Begin("a", 1, b"\x00\xff"),
+            (messages.StartRun("a", 1, b"\x00\xff"),
              {"event": "begin", "handle": "a", "entry": "buy", "arg": "AP8="}),
-            (messages.Reply("a", b""), {"event": "answer", "handle": "a", "arg": ""}),
-            (messages.Interrupt("a"), {"event": "interrupt", "handle": "a"}),
-            (messages.TakeUp("a"), {"event": "goon", "handle": "a"}),
-            (messages.Without("a"), {"event": "without", "handle": "a"}),
-            (messages.Gauge(), {"event": "usage", "ticket": "gauges"}),
+            (messages.CallResult("a", b""), {"event": "answer", "handle": "a", "arg": ""}),
+            (messages.StopRun("a"), {"event": "interrupt", "handle": "a"}),
+            (messages.ResumeRun("a"), {"event": "goon", "handle": "a"}),
+            (messages.ContinueWithoutCall("a"), {"event": "without", "handle": "a"}),
+            (messages.ReadGauges(), {"event": "usage", "ticket": "gauges"}),
         ]  # fmt: skip
         for command, said in cases:
-            self.assertEqual(orjson.loads(processor.encode(command, ["look", "buy"])), said)
+            self.assertEqual(orjson.loads(processor_wire.encode(command, ["look", "buy"])), said)
         cases = [
-            (b'{"event":"hi","fate":"COLD","lasted":1500}', (0, messages.Up(True, 1.5))),
-            (b'{"event":"complete","cursor":3,"handle":"a","fate":"OK","lasted":1,"arg":"AP8="}',
-             (3, messages.Ended("a", Outcome.OK, b"\x00\xff", 0.001))),
-            (b'{"event":"complete","cursor":4,"handle":"a","fate":"STOPPED","lasted":1}',
-             (4, messages.Ended("a", Outcome.STOPPED, b"", 0.001))),
-            (b'{"event":"ask","cursor":5,"handle":"a","arg":"AP8="}', (5, messages.Asked("a", b"\x00\xff"))),
-            (b'{"event":"used","ticket":"gauges","figures":[0.5,3]}', (0, messages.Gauges((0.5, 3.0)))),
-            (b'{"event":"used","ticket":"sync2","figures":[]}', (0, messages.Synced(2))),
-            (b'{"event":"reject","fate":"begin","handle":"a"}', (0, messages.Refused("a", messages.Begin))),
+            (b'{"event":"hi","fate":"COLD","lasted":1500}', (0, messages.ProcessorReady(True, 1.5))),
+            (
+                b'{"event":"complete","cursor":3,"handle":"a","fate":"OK","lasted":1,"arg":"AP8="}',
+                (3, messages.RunEnded("a", Outcome.OK, b"\x00\xff", 0.001)),
+            ),
+            (
+                b'{"event":"complete","cursor":4,"handle":"a","fate":"STOPPED","lasted":1}',
+                (4, messages.RunEnded("a", Outcome.STOPPED, b"", 0.001)),
+            ),
+            (
+                b'{"event":"ask","cursor":5,"handle":"a","arg":"AP8="}',
+                (5, messages.DependencyCallRequested("a", b"\x00\xff")),
+            ),
+            (b'{"event":"used","ticket":"gauges","figures":[0.5,3]}', (0, messages.GaugesRead((0.5, 3.0)))),
+            (b'{"event":"used","ticket":"sync2","figures":[]}', (0, messages.ProcessorSynced(2))),
+            (
+                b'{"event":"reject","fate":"begin","handle":"a"}',
+                (0, messages.CommandRejected("a", messages.StartRun)),
+            ),
             (b'{"event":"remark","cursor":6,"fate":"hm"}', (6, None)),
-        ]  # fmt: skip
+        ]
         for line, said in cases:
-            self.assertEqual(processor.decode(line, 2), said)
+            self.assertEqual(processor_wire.decode(line, 2), said)
         for line in (b"", b"[]", b"{}", b'{"event":"dance"}', b'{"event":"hi"}', b"\xff", b'{"event":"ask"}',
                      b'{"event":"complete","handle":"a","fate":"WELL"}',
                      b'{"event":"ask","handle":"a","arg":"!"}'):  # fmt: skip
-            with self.subTest(line=line), self.assertRaises(processor.BadLine):
-                processor.decode(line, 1)
+            with self.subTest(line=line), self.assertRaises(processor_wire.InvalidLineError):
+                processor_wire.decode(line, 1)
 
     def test_replies_cut_anywhere(self) -> None:
         data = b"a ROWS 6\r\nx\r\nb F\r\nb FULL\r\nc ROWS 0\r\n\r\nd NONE\r\ne FAIL\r\nf TIMEOUT\r\n"
-        expected = [dependency.Back("a", Outcome.OK, b"x\r\nb F"), dependency.Back("b", Outcome.FULL, b""),
-                    dependency.Back("c", Outcome.OK, b""), dependency.Back("d", Outcome.MOOT, b""),
-                    dependency.Back("e", Outcome.ERROR, b""),
-                    dependency.Back("f", Outcome.TIMEOUT, b"")]  # fmt: skip
+        expected = [
+            dependency_wire.Reply("a", Outcome.OK, b"x\r\nb F"),
+            dependency_wire.Reply("b", Outcome.REJECTED, b""),
+            dependency_wire.Reply("c", Outcome.OK, b""),
+            dependency_wire.Reply("d", Outcome.NOT_STARTED, b""),
+            dependency_wire.Reply("e", Outcome.ERROR, b""),
+            dependency_wire.Reply("f", Outcome.TIMEOUT, b""),
+        ]
         for parts in pieces(data):
-            reader = dependency.Reader()
+            reader = dependency_wire.ReplyReader()
             self.assertEqual([back for part in parts for back in reader.feed(part)], expected)
         for bad in (b"a\r\n", b"a WELL\r\n", b"a ROWS x\r\n", b"a ROWS -2\r\n", b"a ROWS 1 2\r\n",
                     b"\xff X\r\n", b"a ROWS 1\r\nxyz", b"a" * 70000):  # fmt: skip
-            with self.subTest(bad=bad[:20]), self.assertRaises(dependency.BadReply):
-                dependency.Reader().feed(bad)
-        call = messages.Call(REF, 10.25, b"a\r\nb")
-        self.assertEqual(dependency.encode(call, 10.0), b"Q " + REF.encode() + b" 250 4\r\na\r\nb\r\n")
+            with self.subTest(bad=bad[:20]), self.assertRaises(dependency_wire.InvalidReplyError):
+                dependency_wire.ReplyReader().feed(bad)
+        call = messages.StartCall(REF, 10.25, b"a\r\nb")
+        self.assertEqual(dependency_wire.encode(call, 10.0), b"Q " + REF.encode() + b" 250 4\r\na\r\nb\r\n")
 
     def test_log_lines(self) -> None:
         record = logs.logger.makeRecord("t", logging.INFO, "f", 1, "op ended", (), None, extra={
-            "pairs": {"id": "a1", "took": 0.25, "why": 'two "words"\nand=', "none": ""}})  # fmt: skip
-        line = logs.KeyValue().format(record)
-        end = 'level=info what="op ended" id=a1 took=0.25 why="two \'words\'\\nand=" none=""'
+            "fields": {"id": "a1", "took": 0.25, "why": 'two "words"\nand=', "none": ""}})  # fmt: skip
+        line = logs.KeyValueFormatter().format(record)
+        end = 'level=info event="op ended" id=a1 took=0.25 why="two \'words\'\\nand=" none=""'
         self.assertTrue(line.endswith(end), line)
 
     def test_start_files(self) -> None:
@@ -194,26 +225,34 @@
             for why, change in cases:
                 change(given := told())
                 path.write_bytes(orjson.dumps(given))
-                with self.subTest(why), self.assertRaisesRegex(start_file.BadStart, why):
-                    start_file.read(path)
+                with self.subTest(why), self.assertRaisesRegex(start_file.StartFileError, why):
+                    start_file.read_start_file(path)
             path.write_text("{")
-            with self.assertRaisesRegex(start_file.BadStart, "not JSON"):
-                start_file.read(path)
-            with self.assertRaisesRegex(start_file.BadStart, "cannot be read"):
-                start_file.read(path / "none")
+            with self.assertRaisesRegex(start_file.StartFileError, "not JSON"):
+                start_file.read_start_file(path)
+            with self.assertRaisesRegex(start_file.StartFileError, "cannot be read"):
+                start_file.read_start_file(path / "none")
             path.write_bytes(orjson.dumps(told()))
-            station, names, given = start_file.read(path)
-        self.assertEqual((station.stop, str(station.listen)), (2.0, "127.0.0.1:4100"))
-        self.assertEqual((names.op_types, given["machine"].cores), ({"look": 0, "buy": 1}, 2))
+            station, names, given = start_file.read_start_file(path)
+        self.assertEqual((station.stop_timeout, str(station.listen)), (2.0, "127.0.0.1:4100"))
+        self.assertEqual((names.request_classes, given.machine.cores), ({"look": 0, "buy": 1}, 2))
 
 
 class UnprovenCommands(unittest.IsolatedAsyncioTestCase):
     """What a processor's link may have swallowed, by what was written, answered and lost."""
 
-    BEGIN, GAUGE = messages.Begin("run", 0, b""), messages.Gauge()
-    COMMANDS = (BEGIN, messages.Reply("called", b""), messages.TakeUp("paused"), messages.Without("poorer"))
+    BEGIN, GAUGE = messages.StartRun("run", 0, b""), messages.ReadGauges()
+    COMMANDS = (
+        BEGIN,
+        messages.CallResult("called", b""),
+        messages.ResumeRun("paused"),
+        messages.ContinueWithoutCall("poorer"),
+    )
     LOST_AT = 10.0
-    EARLY, LATE = LOST_AT - 1.1 * processor.LOST_SPAN, LOST_AT - 0.9 * processor.LOST_SPAN
+    EARLY, LATE = (
+        LOST_AT - 1.1 * unacknowledged.POSSIBLY_LOST_SECONDS,
+        LOST_AT - 0.9 * unacknowledged.POSSIBLY_LOST_SECONDS,
+    )
 
     def test_what_may_be_lost(self) -> None:
         begin, gauge, answered = self.BEGIN, self.GAUGE, None  # None: an ask for gauges is answered
@@ -227,56 +266,56 @@
             (self.EARLY, (gauge, begin, gauge, answered), {"run"}),
             (self.EARLY, (gauge, begin, gauge, answered, answered), set()),
             (self.EARLY, (answered, begin), {"run"}),
-            (self.LATE, (messages.Interrupt("stopped"), processor.Sync(2)), set()),
+            (self.LATE, (messages.StopRun("stopped"), processor_wire.RequestSync(2)), set()),
         ]
         for at, steps, lost in cases:
             with self.subTest(at=at, steps=steps):
-                unproven = processor.Unproven()
+                unproven = unacknowledged.UnacknowledgedCommands()
                 for step in steps:
-                    unproven.answered(at) if step is None else unproven.writes(at, step)
-                unproven.loses(self.LOST_AT)
-                self.assertEqual(unproven.take_lost(), lost)
-                unproven.loses(self.LOST_AT)
-                self.assertEqual(unproven.take_lost(), set())
+                    unproven.acknowledge(at) if step is None else unproven.add(at, step)
+                unproven.link_lost(self.LOST_AT)
+                self.assertEqual(unproven.take_possibly_lost(), lost)
+                unproven.link_lost(self.LOST_AT)
+                self.assertEqual(unproven.take_possibly_lost(), set())
 
     def test_what_was_never_written_is_lost_with_the_links_before(self) -> None:
-        unproven = processor.Unproven()
-        unproven.loses(self.EARLY, (self.BEGIN, self.GAUGE))
-        unproven.answered(self.EARLY)  # to the link before: it proves nothing of this one
-        unproven.writes(self.EARLY, messages.Reply("called", b""))
-        unproven.loses(self.LOST_AT)
-        self.assertEqual(unproven.take_lost(), {"run", "called"})
+        unproven = unacknowledged.UnacknowledgedCommands()
+        unproven.link_lost(self.EARLY, (self.BEGIN, self.GAUGE))
+        unproven.acknowledge(self.EARLY)  # to the link before: it proves nothing of this one
+        unproven.add(self.EARLY, messages.CallResult("called", b""))
+        unproven.link_lost(self.LOST_AT)
+        self.assertEqual(unproven.take_possibly_lost(), {"run", "called"})
 
     def test_a_processor_fills_no_memory_whatever_it_answers(self) -> None:
         for answers in (False, True):
-            unproven = processor.Unproven()
-            for number in range(2 * processor.MOST_UNPROVEN):
-                unproven.writes(self.LATE, messages.Begin(str(number), 0, b""))
-                unproven.writes(self.LATE, self.GAUGE)
+            unproven = unacknowledged.UnacknowledgedCommands()
+            for number in range(2 * unacknowledged.MAX_COMMANDS):
+                unproven.add(self.LATE, messages.StartRun(str(number), 0, b""))
+                unproven.add(self.LATE, self.GAUGE)
                 if answers:
-                    unproven.answered(self.LATE)
-            kept = len(unproven.written) + len(unproven.proven)
-            self.assertLessEqual(kept, processor.MOST_UNPROVEN)
+                    unproven.acknowledge(self.LATE)
+            kept = len(unproven.sent) + len(unproven.recently_acknowledged)
+            self.assertLessEqual(kept, unacknowledged.MAX_COMMANDS)
             if answers:
-                unproven.answered(self.LOST_AT + 1.0)
-                self.assertEqual(len(unproven.proven), 0)
+                unproven.acknowledge(self.LOST_AT + 1.0)
+                self.assertEqual(len(unproven.recently_acknowledged), 0)
 
     async def test_a_command_that_finds_the_mailbox_full_is_lost_with_the_link(self) -> None:
-        peer = processor.Processor(start_file.Address("127.0.0.1", 1), NAMES, mock.Mock())
+        peer = processor.ProcessorClient(start_file.Address("127.0.0.1", 1), NAMES, mock.Mock())
         self.addCleanup(peer.outbox.close)
-        self.addCleanup(peer.unsent.close)
-        for number in range(processor.OUTBOX + 1):
-            peer.tell(messages.Begin(str(number), 0, b""))
+        self.addCleanup(peer.outbox_reader.close)
+        for number in range(processor.OUTBOX_SIZE + 1):
+            peer.send(messages.StartRun(str(number), 0, b""))
         self.assertTrue(peer.scope.cancel_called)
-        self.assertEqual(peer.unproven.take_lost(), {str(processor.OUTBOX)})
+        self.assertEqual(peer.unacknowledged.take_possibly_lost(), {str(processor.OUTBOX_SIZE)})
 
 
 class Retained(unittest.TestCase):
     def test_a_repeat_counts_by_when_it_reached_the_machine(self) -> None:
         """Read late, it is still one; entries outlive their span for that, and then go."""
-        keys = Keys(unread=3.0)
-        keys.keep("a", (1, "k"), end=20.0)
-        keys.over("a", Result(b"r", 11.0))
+        keys = IdempotencyCache(max_queueing_delay=3.0)
+        keys.retain("a", (1, "k"), expires_at=20.0)
+        keys.complete("a", Result(b"r", 11.0))
         self.assertEqual([keys.find((1, "k"), at) for at in (12.0, 20.0, 20.1)], ["a", "a", None])
         self.assertEqual([keys.find(key, 12.0) for key in ((0, "k"), (1, "other"))], [None, None])
         keys.purge(22.9)
@@ -285,87 +324,98 @@
         self.assertEqual((keys.by_key, keys.by_id), ({}, {}))
 
     def test_results_and_waits(self) -> None:
-        keys = Keys(1.0)
-        keys.keep("a", (1, "k"), 20.0)
-        self.assertIsNone(keys.repeat("b", "a"))
-        self.assertIsNone(keys.repeat("c", "a"))
-        self.assertEqual(keys.over("a", Result(b"r", 11.0)), ["b", "c"])
-        self.assertEqual(keys.repeat("d", "a"), Result(b"r", 11.0))
-        self.assertEqual(keys.repeat("e", "unknown").body, None)
-        self.assertEqual(keys.over("unknown", Result(None, 11.0)), [])
+        keys = IdempotencyCache(1.0)
+        keys.retain("a", (1, "k"), 20.0)
+        self.assertIsNone(keys.result_for("b", "a"))
+        self.assertIsNone(keys.result_for("c", "a"))
+        self.assertEqual(keys.complete("a", Result(b"r", 11.0)), ["b", "c"])
+        self.assertEqual(keys.result_for("d", "a"), Result(b"r", 11.0))
+        self.assertEqual(keys.result_for("e", "unknown").body, None)
+        self.assertEqual(keys.complete("unknown", Result(None, 11.0)), [])
 
     def test_a_newer_op_takes_the_key_over(self) -> None:
-        keys = Keys(1.0)
-        keys.keep("a", (1, "k"), 20.0)
-        keys.repeat("waits", "a")
-        keys.keep("b", (1, "k"), 25.0)
+        keys = IdempotencyCache(1.0)
+        keys.retain("a", (1, "k"), 20.0)
+        keys.result_for("waits", "a")
+        keys.retain("b", (1, "k"), 25.0)
         self.assertEqual(keys.find((1, "k"), 12.0), "b")
-        self.assertEqual(keys.forget("a"), ["waits"])
+        self.assertEqual(keys.release("a"), ["waits"])
         self.assertEqual(keys.find((1, "k"), 12.0), "b")
-        self.assertEqual((keys.forget("b"), keys.find((1, "k"), 12.0)), ([], None))
+        self.assertEqual((keys.release("b"), keys.find((1, "k"), 12.0)), ([], None))
 
     def test_an_op_in_hand_outlives_its_span_until_its_end(self) -> None:
-        keys = Keys(1.0)
-        keys.keep("a", (1, "k"), 20.0)
-        keys.repeat("b", "a")
+        keys = IdempotencyCache(1.0)
+        keys.retain("a", (1, "k"), 20.0)
+        keys.result_for("b", "a")
         keys.purge(30.0)
         self.assertIsNone(keys.find((1, "k"), 19.0))
-        self.assertEqual(keys.over("a", Result(b"r", 31.0)), ["b"])
+        self.assertEqual(keys.complete("a", Result(b"r", 31.0)), ["b"])
         keys.purge(40.0)
         self.assertEqual(keys.by_id, {})
 
     def test_a_read_stands_for_others_while_fresh(self) -> None:
-        keys = Keys(1.0)
-        keys.keep("a", (0, "s"), 90.0, fresh=2.0)
+        keys = IdempotencyCache(1.0)
+        keys.retain("a", (0, "s"), 90.0, freshness=2.0)
         self.assertEqual(keys.find((0, "s"), 50.0), "a")
-        keys.over("a", Result(b"r", 51.0))
+        keys.complete("a", Result(b"r", 51.0))
         self.assertEqual([keys.find((0, "s"), at) for at in (53.0, 53.1)], ["a", None])
-        keys.keep("b", (0, "t"), 90.0, fresh=2.0)
-        keys.over("b", Result(None, 51.0))
+        keys.retain("b", (0, "t"), 90.0, freshness=2.0)
+        keys.complete("b", Result(None, 51.0))
         self.assertIsNone(keys.find((0, "t"), 51.0))
 
 
-class AtTheDesk(unittest.IsolatedAsyncioTestCase):
+class DispatcherAlone(unittest.IsolatedAsyncioTestCase):
     """The module's actor alone: what it hears is put in, what it tells its peers is kept."""
 
     def setUp(self) -> None:
-        self.desk = dispatcher.Desk(2.0, start_file.start(7, told()["settings"]))
+        self.dispatcher = dispatcher.Dispatcher(
+            2.0, start_file.read_admission_settings(7, told()["settings"])
+        )
         self.processor = mock.Mock()
-        self.desk.meet(mock.Mock(), self.processor, mock.Mock(), mock.Mock())
-        self.addCleanup(self.desk.events.close)
-        self.addCleanup(self.desk.inbox.close)
+        self.dispatcher.connect_peers(mock.Mock(), self.processor, mock.Mock(), mock.Mock())
+        self.addCleanup(self.dispatcher.events.close)
+        self.addCleanup(self.dispatcher.inbox.close)
 
-    def order(self, at: int) -> messages.Arrived:
-        order = messages.Order(f"{at:016x}", 0, 0, 1, time.time(), 2.0, 9.0, 0.5, None, None, b"")
-        return messages.Arrived(mock.Mock(), at, order)
+    def order(self, at: int) -> messages.RequestReceived:
+        order = messages.RequestHeader(f"{at:016x}", 0, 0, 1, time.time(), 2.0, 9.0, 0.5, None, None, b"")
+        return messages.RequestReceived(mock.Mock(), at, order)
 
     def begins(self) -> int:
-        return sum(isinstance(call.args[0], messages.Begin) for call in self.processor.tell.call_args_list)
+        return sum(isinstance(call.args[0], messages.StartRun) for call in self.processor.send.call_args_list)
 
     def test_what_a_lost_link_swallowed_is_sent_again_though_the_next_is_lost_too(self) -> None:
         """And what is proven to have come through is not: its run may end just now."""
         now = time.time()
         for lost, begins in [({f"{1:016x}"}, 2), ({f"{2:016x}"}, 1), (set(), 1)]:
             self.setUp()
-            for event in (messages.Up(False, 0.0), messages.Synced(1), self.order(1)):
-                self.desk._hear(now, event)
-            self.desk._settle(now)
-            for event in (messages.Down(), messages.Down(), messages.Synced(3, frozenset(lost))):
-                self.desk._hear(now, event)
+            for event in (messages.ProcessorReady(False, 0.0), messages.ProcessorSynced(1), self.order(1)):
+                self.dispatcher.handle(now, event)
+            self.dispatcher.execute_decisions(now)
+            for event in (
+                messages.ProcessorDisconnected(),
+                messages.ProcessorDisconnected(),
+                messages.ProcessorSynced(3, frozenset(lost)),
+            ):
+                self.dispatcher.handle(now, event)
             self.assertEqual(self.begins(), begins)
 
     def test_an_op_whose_time_left_is_not_told(self) -> None:
         """Its type's timeout counts, here and in the module; once such an op was not understood at all."""
         now = time.time()
-        self.desk._hear(now, messages.Up(False, 0.0))
+        self.dispatcher.handle(now, messages.ProcessorReady(False, 0.0))
         arrived = self.order(1)
-        self.desk._hear(now, arrived._replace(order=arrived.order._replace(patience=0.0, since=now - 0.5)))
-        slip, job = self.desk.slips[f"{1:016x}"], self.desk.yoke.jobs[f"{1:016x}"]
-        timeout = self.desk.kinds[0].timeout
-        for due in (slip.due, job.due):
+        self.dispatcher.handle(
+            now, arrived._replace(header=arrived.header._replace(client_timeout=0.0, received_at=now - 0.5))
+        )
+        slip, job = (
+            self.dispatcher.in_flight.by_id[f"{1:016x}"],
+            self.dispatcher.controller.requests[f"{1:016x}"],
+        )
+        timeout = self.dispatcher.classes[0].client_timeout
+        for due in (slip.deadline, job.deadline):
             self.assertAlmostEqual(due, now - 0.5 + timeout, places=3)
-        self.desk._carry_out(now, act.GoOn(f"{1:016x}"))
-        self.assertEqual(slip.command, messages.Without(f"{1:016x}"))
+        self.dispatcher.executor.execute(now, act.ContinueDegraded(f"{1:016x}"))
+        self.assertEqual(slip.last_command, messages.ContinueWithoutCall(f"{1:016x}"))
 
     def test_an_id_that_is_retained_is_not_taken_again(self) -> None:
         """A bad client sent an open op's id, with a key of its own, just as that op ended. The processor
@@ -373,50 +423,58 @@
         now = time.time()
         asker, bad = mock.Mock(), mock.Mock()
 
-        def op(id: str, key: str, asker: mock.Mock) -> messages.Arrived:
+        def op(id: str, key: str, asker: mock.Mock) -> messages.RequestReceived:
             body = key.encode()
-            return messages.Arrived(
-                asker, 1, messages.Order(id, 1, 0, 1, now, 2.0, 9.0, 0.5, key, None, body)
+            return messages.RequestReceived(
+                asker, 1, messages.RequestHeader(id, 1, 0, 1, now, 2.0, 9.0, 0.5, key, None, body)
             )
 
-        for event in (messages.Up(False, 0.0), messages.Synced(1), op("a" * 16, "k", asker)):
-            self.desk._hear(now, event)
-        self.desk._settle(now)
+        for event in (
+            messages.ProcessorReady(False, 0.0),
+            messages.ProcessorSynced(1),
+            op("a" * 16, "k", asker),
+        ):
+            self.dispatcher.handle(now, event)
+        self.dispatcher.execute_decisions(now)
         self.assertEqual(self.begins(), 1)
-        self.desk._hear(now, messages.Ended("a" * 16, Outcome.OK, b"done", 0.003))
-        self.desk._hear(now, op("a" * 16, "other", bad))
-        self.desk._settle(now)
-        self.desk._hear(now, messages.Refused("a" * 16, messages.Begin))
-        self.desk._hear(now, op("b" * 16, "k", asker))
-        self.desk._settle(now)
+        self.dispatcher.handle(now, messages.RunEnded("a" * 16, Outcome.OK, b"done", 0.003))
+        self.dispatcher.handle(now, op("a" * 16, "other", bad))
+        self.dispatcher.execute_decisions(now)
+        self.dispatcher.handle(now, messages.CommandRejected("a" * 16, messages.StartRun))
+        self.dispatcher.handle(now, op("b" * 16, "k", asker))
+        self.dispatcher.execute_decisions(now)
         self.assertEqual(self.begins(), 1)
-        self.assertEqual([call.args[0].verdict for call in bad.tell.call_args_list], [messages.Verdict.FAIL])
-        told = [(call.args[0].verdict, call.args[0].body) for call in asker.tell.call_args_list]
-        self.assertEqual(told, [(messages.Verdict.ACK, b"done")] * 2)
+        self.assertEqual(
+            [call.args[0].verdict for call in bad.send.call_args_list], [extensions.Verdict.FAILED]
+        )
+        told = [(call.args[0].verdict, call.args[0].body) for call in asker.send.call_args_list]
+        self.assertEqual(told, [(extensions.Verdict.SERVED, b"done")] * 2)
 
     def test_a_server_with_nothing_below(self) -> None:
         """Its start file names no database, and none is asked; once it did not start."""
         given = told(settings__family_info__below="silent")
         del given["db"]
-        self.assertIsNone(start_file.station(given).database)
-        below = dependency.Database(None, self.desk.inbox)
-        self.assertFalse(below.tell(messages.Call(REF, 1.0, b"")))
+        self.assertIsNone(start_file.read_server_settings(given).dependency)
+        below = dependency.DependencyClient(None, self.dispatcher.inbox)
+        self.assertFalse(below.send(messages.StartCall(REF, 1.0, b"")))
         below.outbox.close()
-        below.unsent.close()
-        with self.assertRaisesRegex(start_file.BadStart, "lacks 'db'"):
-            start_file.station(given | {"settings": told()["settings"]})
+        below.outbox_reader.close()
+        with self.assertRaisesRegex(start_file.StartFileError, "lacks 'db'"):
+            start_file.read_server_settings(given | {"settings": told()["settings"]})
 
     async def test_events_gather_in_a_crowd(self) -> None:
         """Few are heard at once, one by one; many wait for a tick, in which more come: one settle for all."""
-        for at_once, settles in [(1, 8), (dispatcher.CROWD, 2)]:
+        for at_once, settles in [(1, 8), (dispatcher.BATCHING_THRESHOLD, 2)]:
             self.setUp()
-            self.desk.tick = 0.05
-            with mock.patch.object(self.desk, "_settle", side_effect=lambda now: None) as settle:
+            self.dispatcher.tick = 0.05
+            with mock.patch.object(
+                self.dispatcher, "execute_decisions", side_effect=lambda now: None
+            ) as settle:
                 async with anyio.create_task_group() as tasks:
-                    tasks.start_soon(self.desk.run)
+                    tasks.start_soon(self.dispatcher.run)
                     for batch in range(8 // at_once):
                         for _ in range(at_once):
-                            self.desk.inbox.send_nowait(messages.Gauges(()))
+                            self.dispatcher.inbox.send_nowait(messages.GaugesRead(()))
                         await until(lambda n=batch: settle.call_count > n)
                     await anyio.sleep(0.06)  # and none that is left for later
                     tasks.cancel_scope.cancel()
@@ -428,7 +486,7 @@
     times = 1
 
     def setUp(self) -> None:
-        logs.counts.clear()
+        logs.counters.clear()
 
     async def test_one_answer_with_what_its_run_made(self) -> None:
         async with place() as here:
@@ -449,7 +507,7 @@
             router, spent = await here.router(), Spent()
             for _ in range(40):
                 await router.answer(await router.check())
-            self.assertLess(spent.seconds(), 40 * dispatcher.FAREWELL / 2)
+            self.assertLess(spent.seconds(), 40 * drain.LATE_REQUEST_WINDOW_SECONDS / 2)
 
     async def test_repeats_get_the_result_of_the_one_run(self) -> None:
         """While it runs, in one batch with it, and after its end."""
@@ -498,7 +556,7 @@
             here.processor.end(here.processor.begun[2])
             self.assertIsNone((await halved.answer(number))[0])
             await halved.until(lambda: halved.closed)
-            self.assertEqual((left.answers, logs.counts["gone"]), ({}, 2))
+            self.assertEqual((left.answers, logs.counters["requests_abandoned"]), ({}, 2))
 
     async def test_bad_input_ends_its_own_connection_alone(self) -> None:
         async with place() as here:
@@ -511,7 +569,9 @@
             error, _ = await unclear.answer(await unclear.ask("sell"))
             self.assertEqual(error[0], "Shed")
             self.assertIsNone((await unclear.answer(await unclear.ask("look")))[0])
-            for _ in range(listener.UNCLEAR_LIMIT):  # the same again, as soon as it is turned away
+            for _ in range(
+                client_connection.MAX_INVALID_REQUESTS
+            ):  # the same again, as soon as it is turned away
                 await unclear.ask("sell")
             await unclear.until(lambda: unclear.closed)
             self.assertIsNone((await good.answer(await good.ask("look")))[0])
@@ -556,7 +616,7 @@
             for number in (frames[0][0], repeat):
                 self.assertIsNone((await router.answer(number))[0])
             self.assertEqual((await router.answer(await router.ask("buy", b"y", **KEY)))[0][0], "Fault")
-            self.assertEqual((len(here.processor.begun), logs.counts["other_body"]), (1, 3))
+            self.assertEqual((len(here.processor.begun), logs.counters["mismatched_bodies"]), (1, 3))
 
     async def test_a_run_that_was_not_begun_leaves_its_key_free(self) -> None:
         """Its time, next to nothing, is not learned either: `moot` is how such a run ended."""
@@ -566,13 +626,15 @@
             error, _ = await router.answer(await router.ask("buy", b"nobody's", **KEY))
             self.assertEqual(error[0], "Fault")
             self.assertIsNone((await router.answer(await router.ask("buy", b"x", **KEY)))[0])
-            self.assertEqual((logs.counts["run_moot"], logs.counts["run_error"]), (1, 0))
+            self.assertEqual((logs.counters["runs_not_started"], logs.counters["runs_error"]), (1, 0))
 
     async def test_silent_and_half_said_peers_are_closed(self) -> None:
         async with place() as here:
             router = await here.router()
             await router.answer(await router.check())
-            with mock.patch.multiple(listener, HALF_SAID=0.1 * self.times, LOOK=0.02):
+            with mock.patch.multiple(
+                listener, INCOMPLETE_MESSAGE_SECONDS=0.1 * self.times, SWEEP_SECONDS=0.02
+            ):
                 silent, half, drip = [await here.router() for _ in range(3)]
                 await half.stream.send(half.frame("look")[1][:40])
                 await drip.stream.send(drip.frame("look")[1] + drip.frame("look")[1][:40])
@@ -580,17 +642,17 @@
                 for peer in (silent, half, drip):
                     await peer.until(lambda peer=peer: peer.closed)
                 self.assertIsNone((await router.answer(await router.ask("look")))[0])
-                self.assertEqual(logs.counts["half_said"], 3)
+                self.assertEqual(logs.counters["incomplete_messages"], 3)
 
     async def test_what_peers_do_wrong_fills_no_log(self) -> None:
         async with place() as here:
             with self.assertLogs(logs.logger, logging.WARNING) as captured:
-                for _ in range(3 * logs.PEER_LINES):
+                for _ in range(3 * logs.PEER_FAULT_LINES):
                     bad = await here.router()
                     await bad.stream.send(b"\xc1")
                     await bad.until(lambda bad=bad: bad.closed)
-            self.assertLessEqual(len(captured.output), logs.PEER_LINES)
-            self.assertEqual(logs.counts["bad_frame"], 3 * logs.PEER_LINES)
+            self.assertLessEqual(len(captured.output), logs.PEER_FAULT_LINES)
+            self.assertEqual(logs.counters["invalid_frames"], 3 * logs.PEER_FAULT_LINES)
 
     async def test_before_the_processor_is_up(self) -> None:
         """Health is good, ops are turned away, and no command goes out: one sent then is not carried out, and
@@ -638,7 +700,7 @@
             with mock.patch.object(processor, "encode", return_value=b"") as swallowed:
                 number = await router.ask("look", b"a")
                 await until(
-                    lambda: any(type(said.args[0]) is messages.Begin for said in swallowed.mock_calls)
+                    lambda: any(type(said.args[0]) is messages.StartRun for said in swallowed.mock_calls)
                 )
             await here.processor.cut()
             self.assertIsNone((await router.answer(number))[0])
@@ -659,11 +721,11 @@
             await here.database.until(lambda: here.database.heard)
             await here.database.cut()  # proves nothing: not made again
             self.assertEqual((await router.answer(number))[0][0], "Fault")
-            self.assertEqual((logs.counts["call_cut"], len(here.database.heard)), (1, 1))
+            self.assertEqual((logs.counters["calls_connection_lost"], len(here.database.heard)), (1, 1))
         async with place(db="127.0.0.1:1") as here:
             router = await here.router()
             self.assertEqual((await router.answer(await router.ask("buy", b"x", **KEY)))[0][0], "Fault")
-            self.assertEqual(logs.counts["call_unreached"], 4)
+            self.assertEqual(logs.counters["calls_unreachable"], 4)
 
     async def test_a_silent_call_is_given_up_and_the_op_answered_in_time(self) -> None:
         async with place(database=Database(None)) as here:
@@ -677,7 +739,11 @@
         """Noise, a line that does not end, a reply of 3 GB, half a reply, a reset: each is left at once."""
         head = b"%s ROWS "
         for spoilt in (b"\xff\x00 noise\r\n", b"x" * 300, head + b"3000000000\r\nx", head + b"9\r\nx", None):
-            with self.subTest(spoilt), mock.patch.multiple(dependency, HALF_SAID=0.1, LOOK=0.02):
+            with (
+                self.subTest(spoilt),
+                mock.patch.object(dependency_connection, "INCOMPLETE_REPLY_SECONDS", 0.1),
+                mock.patch.object(dependency, "SWEEP_SECONDS", 0.02),
+            ):
                 async with place(database=Database(None)) as here:
                     router, asked = await here.router(), here.database.asked
                     numbers = [await router.ask("buy", b"x", replay=f"{at:032x}") for at in range(2)]
@@ -714,25 +780,30 @@
         base = Database(None)
         async with anyio.create_task_group() as tasks:
             await tasks.start(base.run)
-            calls = dependency.Database(start_file.Address("127.0.0.1", base.port), inbox)
+            calls = dependency.DependencyClient(start_file.Address("127.0.0.1", base.port), inbox)
             tasks.start_soon(calls.run)
-            with mock.patch.object(dependency.Line, "_lost", lambda *_: anyio.sleep_forever()):
-                calls.tell(messages.Call("a", time.time() + 9, b"x"))
+            with mock.patch.object(
+                dependency.DependencyConnection, "_report_lost", lambda *_: anyio.sleep_forever()
+            ):
+                calls.send(messages.StartCall("a", time.time() + 9, b"x"))
                 await base.until(lambda: base.asked)
                 await base.cut()
                 with anyio.fail_after(20):
-                    while not (line := next(iter(calls.lines))).doubtful:
+                    while not (line := next(iter(calls.connections))).is_doubtful:
                         await anyio.sleep(0)
                 await anyio.sleep(0.05)  # its mailbox is closed; it has not ended yet
-                line.out.clear()
-                calls.tell(messages.Call("b", time.time() + 9, b"x"))
+                line.in_flight.clear()
+                calls.send(messages.StartCall("b", time.time() + 9, b"x"))
                 await base.until(lambda: len(base.asked) == 2)
             tasks.cancel_scope.cancel()
-        for mailbox in (inbox, events, calls.outbox, calls.unsent):
+        for mailbox in (inbox, events, calls.outbox, calls.outbox_reader):
             mailbox.close()
 
     async def test_an_idle_database_connection_is_closed_here(self) -> None:
-        with mock.patch.multiple(dependency, IDLE=0.05, LOOK=0.01):
+        with (
+            mock.patch.object(dependency_connection, "IDLE_SECONDS", 0.05),
+            mock.patch.multiple(dependency, IDLE_SECONDS=0.05, SWEEP_SECONDS=0.01),
+        ):
             async with place() as here:
                 router = await here.router()
                 for _ in range(2):
@@ -740,11 +811,11 @@
                     await here.database.until(lambda: not here.database.streams)
 
     async def test_reports_to_the_list(self) -> None:
-        with mock.patch("thymeyoke.server.endpoint_registry.PERIOD", 0.02):
+        with mock.patch("thymeyoke.server.endpoint_registry.REPORT_PERIOD_SECONDS", 0.02):
             async with place(roster=Roster(500)) as here:
                 await here.roster.until(lambda: len(here.roster.reports) > 2)
                 here.roster.status = 204
-                await here.roster.until(lambda: logs.counts["reports"] > 2 or None)
+                await here.roster.until(lambda: logs.counters["reports_accepted"] > 2 or None)
                 await here.roster.cut()
                 router = await here.router()
                 self.assertIsNone((await router.answer(await router.ask("look")))[0])
@@ -758,9 +829,9 @@
             router, work = await here.router(), here.processor
             numbers = [await router.ask("buy", b"a", **KEY), await router.ask("look", b"b")]
             await here.database.until(lambda: len(here.database.heard) == 2)
-            given, here.start = here.start, start_file.BadStart("half written")
+            given, here.start = here.start, start_file.StartFileError("half written")
             os.kill(os.getpid(), signal.SIGHUP)
-            await until(lambda: logs.counts["start_file_bad"])
+            await until(lambda: logs.counters["start_file_errors"])
             database, roster = Database(), Roster()
             door, links = anyio.Event(), await anyio.create_tcp_listener(local_host="127.0.0.1")
 
@@ -788,7 +859,9 @@
             for number in numbers:
                 self.assertIsNone((await router.answer(number))[0])
             begins = [said["handle"] for said in work.heard if said["event"] == "begin"]
-            self.assertEqual((len(begins), len(set(begins)), logs.counts["processor_links_lost"]), (3, 3, 1))
+            self.assertEqual(
+                (len(begins), len(set(begins)), logs.counters["processor_links_lost"]), (3, 3, 1)
+            )
             os.kill(os.getpid(), signal.SIGTERM)
             await router.until(lambda: router.notices)
             os.kill(os.getpid(), signal.SIGHUP)
@@ -796,7 +869,9 @@
             await here.ended.wait()
 
     async def test_an_unanswered_report_puts_off_none(self) -> None:
-        with mock.patch.multiple("thymeyoke.server.endpoint_registry", PERIOD=0.2, TIMEOUT=0.19):
+        with mock.patch.multiple(
+            "thymeyoke.server.endpoint_registry", REPORT_PERIOD_SECONDS=0.2, REPORT_TIMEOUT_SECONDS=0.19
+        ):
             async with place(roster=Roster(0)) as here:
                 spent = Spent()
                 await here.roster.until(lambda: len(here.roster.reports) == 6, within=20.0)
@@ -839,7 +914,7 @@
             self.assertLess(spent.seconds(), 1.5)
 
     async def test_an_unused_connection_is_told_and_closed(self) -> None:
-        with mock.patch.object(listener, "GRACE", 0.1):
+        with mock.patch.object(listener, "SHUTDOWN_NOTICE_GRACE_SECONDS", 0.1):
             async with place(settings__family_info__idle_us=200000) as here:
                 unused, used = await here.router(), await here.router()
                 number = await used.ask("look", allow="9000")
@@ -852,15 +927,15 @@
 
         ours, theirs = socket.socketpair()
         ours.setblocking(False)
-        connection = listener.Connection(ours, NAMES, inbox)
+        connection = listener.ClientConnection(ours, NAMES, inbox)
         with theirs, anyio.fail_after(20):
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(connection.run)
-                connection.tell(messages.Answer(1, messages.Verdict.ACK, bytes(1 << 23)))
-                await until(lambda: connection.rest)
-                for _ in range(listener.OUTBOX + 1):
-                    connection.tell(messages.Answer(1, messages.Verdict.ACK))
-        self.assertGreater(logs.counts["outbox_full"], 0)
+                connection.send(extensions.Answer(1, extensions.Verdict.SERVED, bytes(1 << 23)))
+                await until(lambda: connection.unwritten)
+                for _ in range(client_connection.OUTBOX_SIZE + 1):
+                    connection.send(extensions.Answer(1, extensions.Verdict.SERVED))
+        self.assertGreater(logs.counters["client_outboxes_full"], 0)
         inbox.close()
         events.close()
 
@@ -869,20 +944,22 @@
 
         def counted(true: bool, what: str, **pairs: object) -> bool:
             with suppress(AssertionError):
-                invariants.holds(true, what, **pairs)
+                invariants.check_invariant(true, what, **pairs)
             return true
 
-        with mock.patch.object(dispatcher, "holds", counted):
+        with mock.patch.object(dispatcher, "check_invariant", counted):
             async with place() as here:
                 router = await here.router()
-                with mock.patch.object(Choice, "take", side_effect=RuntimeError("broken")):
+                with mock.patch.object(AdmissionController, "submit", side_effect=RuntimeError("broken")):
                     spent = Spent()
                     error, _ = await router.answer(await router.ask("look", allow="100"))
                     self.assertEqual(error[0], "Fault")
                     self.assertLess(spent.seconds(), 1.0)
-                woke = mock.patch.object(Choice, "woke", side_effect=RuntimeError("broken"))
+                woke = mock.patch.object(
+                    AdmissionController, "timer_expired", side_effect=RuntimeError("broken")
+                )
                 with woke:
-                    await until(lambda: logs.counts["broken_no_desk_error"] >= 3)
+                    await until(lambda: logs.counters["invariants_violated_no_dispatcher_error"] >= 3)
                 self.assertIsNone((await router.answer(await router.ask("look")))[0])
 
     async def test_an_id_used_again_is_answered_and_no_false_alarm(self) -> None:
@@ -943,12 +1020,14 @@
         lines = ask + used + ask
         for parts in pieces(lines):
             inbox, events = anyio.create_memory_object_stream[messages.Event](8)
-            link = processor.Processor(start_file.Address("127.0.0.1", 1), NAMES, inbox)
+            link = processor.ProcessorClient(start_file.Address("127.0.0.1", 1), NAMES, inbox)
             stream = mock.Mock(receive=mock.AsyncMock(side_effect=[*parts, anyio.EndOfStream]))
             await link._read(stream)
             heard = [events.receive_nowait() for _ in range(events.statistics().current_buffer_used)]
-            self.assertEqual(heard, [messages.Asked("a", b"\x00\xff"), messages.Gauges((1.0,))])
-            for mailbox in (inbox, events, link.outbox, link.unsent):
+            self.assertEqual(
+                heard, [messages.DependencyCallRequested("a", b"\x00\xff"), messages.GaugesRead((1.0,))]
+            )
+            for mailbox in (inbox, events, link.outbox, link.outbox_reader):
                 mailbox.close()
 
     async def test_a_broken_line_drops_the_link_only(self) -> None:
@@ -958,7 +1037,7 @@
             await here.processor.until(
                 lambda: sum(said["event"] == "hello" for said in here.processor.heard) == 2)  # fmt: skip
             self.assertIsNone((await router.answer(await router.ask("look")))[0])
-            self.assertEqual(logs.counts["processor_bad_line"], 1)
+            self.assertEqual(logs.counters["processor_invalid_lines"], 1)
 
 
 if __name__ == "__main__":
--- a/tests/test_service_config.py
+++ b/tests/test_service_config.py
@@ -151,11 +151,11 @@
 
 
 class Orders(unittest.TestCase):
-    def read(self, text: str | bytes) -> service_config.Orders:
+    def read(self, text: str | bytes) -> service_config.ServiceConfig:
         path = written(text)
         self.addCleanup(path.unlink)
         self.path = path
-        return service_config.read(path)
+        return service_config.read_service_config(path)
 
     def test_a_good_file_is_typed_values(self) -> None:
         peer = Peer("tor-1", HostPort.parse("127.0.0.1:1790"), 64500, 3)
@@ -168,7 +168,7 @@
 
     def test_the_file_that_is_shipped_is_all_off_and_good_when_on(self) -> None:
         shipped = Path(__file__).parents[1] / "deploy" / "service.ini"
-        self.assertEqual(service_config.read(shipped), {})
+        self.assertEqual(service_config.read_service_config(shipped), {})
         on = "\n".join(line.removeprefix("; ") for line in shipped.read_text().splitlines())
         read = self.read(on)["announce"]
         defaults = {
@@ -202,16 +202,16 @@
             for old, new, said in rows:
                 self.assertIn(old, good)
                 with self.subTest(new=new[-60:]):
-                    with self.assertRaises(service_config.BadOrders) as caught:
+                    with self.assertRaises(service_config.ServiceConfigError) as caught:
                         self.read(good.replace(old, new, 1))
                     self.words(str(caught.exception), said)
         for garbage in (b"\xff\xfe", b"no section\n", b"[announce\n", b"[announce]\nas\n"):
             with self.subTest(garbage=garbage):
-                with self.assertRaises(service_config.BadOrders) as caught:
+                with self.assertRaises(service_config.ServiceConfigError) as caught:
                     self.read(garbage)
                 self.words(str(caught.exception))
-        with self.assertRaisesRegex(service_config.BadOrders, "cannot be read: No such file"):
-            service_config.read(Path("/nonexistent/service.ini"))
+        with self.assertRaisesRegex(service_config.ServiceConfigError, "cannot be read: No such file"):
+            service_config.read_service_config(Path("/nonexistent/service.ini"))
 
     def words(self, text: str, said: str | None = None) -> None:
         self.assertTrue(text.startswith(f"{self.path}: "), text)
@@ -228,12 +228,12 @@
         good, bad = written(GOOD), written(GOOD.replace("hold = 3", "hold = 1"))
         self.addCleanup(good.unlink)
         self.addCleanup(bad.unlink)
-        done = self.run_it("check", "--config", str(START), "--orders", str(good))
+        done = self.run_it("check", "--config", str(START), "--service-config", str(good))
         self.assertEqual((done.returncode, done.stderr), (0, ""))
         self.assertIn("announces 198.51.100.7/32, 2001:db8::7/128 as AS 64512, 192.0.2.1\n", done.stdout)
         sentence = f"Error: {bad}: {PEER} hold: '1' can't be used; give whole seconds from 3 to 65535\n"
         for command in ("check", "serve"):
-            done = self.run_it(command, "--config", str(START), "--orders", str(bad))
+            done = self.run_it(command, "--config", str(START), "--service-config", str(bad))
             self.assertEqual((done.returncode, done.stdout, done.stderr), (2, "", sentence))
         done = self.run_it("announce", "show", "--control", "/nonexistent/socket")
         self.assertEqual((done.returncode, done.stdout), (1, ""))
@@ -244,7 +244,7 @@
     def test_a_node_s_file_on_the_command_line(self) -> None:
         good = written(A_NODE)
         self.addCleanup(good.unlink)
-        done = self.run_it("check", "--orders", str(good))
+        done = self.run_it("check", "--service-config", str(good))
         self.assertEqual((done.returncode, done.stderr), (0, ""))
         self.assertIn("is node node-1, 64 connections, seats outlive them by 17.6 s\n", done.stdout)
         self.assertIn("serves shop at 127.0.0.1:5001, bank at 127.0.0.1:5002 (standby)\n", done.stdout)
@@ -252,7 +252,7 @@
         wrong_use = {  # commands and exit codes: a node's file is none of an app server's
             ("check", "--config", str(START)): 2, ("serve", "--config", str(START)): 2}  # fmt: skip
         for command, code in wrong_use.items():
-            done = self.run_it(*command, "--orders", str(good))
+            done = self.run_it(*command, "--service-config", str(good))
             self.assertEqual((done.returncode, done.stdout), (code, ""))
             self.assertIn("is for a node, started by `thymeyoke node`", done.stderr)
         for text, said in (
@@ -269,7 +269,7 @@
                 if command == "check" and text is GOOD:
                     continue
                 with self.subTest(command=command, said=said):
-                    done = self.run_it(command, "--orders", str(bad))
+                    done = self.run_it(command, "--service-config", str(bad))
                     self.assertEqual((done.returncode, done.stdout), (1, ""))
                     sentence = done.stderr.removeprefix("Error: ")
                     self.path = bad
@@ -313,13 +313,13 @@
     def test_both_forms_say_the_same(self) -> None:
         def line(form: logging.Formatter) -> str:
             record = logging.LogRecord("thymeyoke", logging.INFO, "", 0, "up", None, None)
-            record.created, record.pairs = 12.5, {"age": 0.25, "name": 'a "b"\nc', "port": 7}
+            record.created, record.fields = 12.5, {"age": 0.25, "name": 'a "b"\nc', "port": 7}
             return form.format(record)
 
         self.assertEqual(
-            line(logs.KeyValue()), "at=12.500 level=info what=up age=0.25 name=\"a 'b'\\nc\" port=7"
+            line(logs.KeyValueFormatter()), "at=12.500 level=info event=up age=0.25 name=\"a 'b'\\nc\" port=7"
         )
         self.assertEqual(
-            orjson.loads(line(logs.Json())),
-            {"at": 12.5, "level": "info", "what": "up", "age": 0.25, "name": 'a "b"\nc', "port": 7},
+            orjson.loads(line(logs.JsonFormatter())),
+            {"at": 12.5, "level": "info", "event": "up", "age": 0.25, "name": 'a "b"\nc', "port": 7},
         )
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -23,9 +23,9 @@
 from examples.fakes import Processor, Roster, Router
 from fakes.processes import Spent
 from tests.app_server import place, steady, told, until
-from thymeyoke.runtime import early_signals
-from thymeyoke.runtime.logs import counts
-from thymeyoke.server import dispatcher, lifecycle, listener, messages
+from thymeyoke.runtime import early_signals, extensions
+from thymeyoke.runtime.logs import counters
+from thymeyoke.server import dispatcher, drain, lifecycle, listener, messages
 
 GRACE, SLACK = 0.5, 0.1  # of the toy's settings
 
@@ -118,14 +118,17 @@
     async def test_what_is_read_in_the_last_moment_is_answered(self) -> None:
         """Once the desk was gone for the last 60 ms, and who had not yet read `leaving` heard nothing."""
         # A quarter of it, from 0.15 s before the stop on; the connection is not closed sooner.
-        with mock.patch.object(dispatcher, "FAREWELL", 8.0), mock.patch.object(listener, "GRACE", 9.0):
+        with (
+            mock.patch.object(drain, "LATE_REQUEST_WINDOW_SECONDS", 8.0),
+            mock.patch.object(listener, "SHUTDOWN_NOTICE_GRACE_SECONDS", 9.0),
+        ):
             async with place(Processor(calls=0)) as here:
                 router = await here.router()
                 await router.answer(await router.check())
                 began = time.time()
                 os.kill(os.getpid(), signal.SIGTERM)
                 await anyio.sleep(
-                    began + told()["stop_ms"] / 1000 - dispatcher.STOP_MARGIN + 0.08 - time.time()
+                    began + told()["stop_ms"] / 1000 - drain.STOP_MARGIN_SECONDS + 0.08 - time.time()
                 )
                 self.assertEqual((await router.answer(await router.ask("look")))[0][0], "Shed")
 
@@ -152,19 +155,19 @@
 class Door(unittest.IsolatedAsyncioTestCase):
     async def test_who_waits_in_the_queue_when_the_door_shuts_is_let_in(self) -> None:
         """Once the listener was closed over them: their connections were reset, with the ops on them."""
-        desks: list[dispatcher.Desk] = []
+        desks: list[dispatcher.Dispatcher] = []
 
-        def keep(*given: object) -> dispatcher.Desk:
-            desks.append(dispatcher.Desk(*given))
+        def keep(*given: object) -> dispatcher.Dispatcher:
+            desks.append(dispatcher.Dispatcher(*given))
             return desks[-1]
 
-        with mock.patch.object(lifecycle, "Desk", keep):
+        with mock.patch.object(lifecycle, "Dispatcher", keep):
             async with place(Processor(calls=0)) as here:
                 await (known := await here.router()).answer(await known.check())
                 sockets = [socket.create_connection(here.where) for _ in range(5)]
                 for at in sockets:  # not a turn of the loop until the door is shut
                     at.sendall(known.frame("look")[1])
-                desks[0].front.tell(messages.Leaving())
+                desks[0].listener.notify(messages.CloseListener())
                 with self.assertRaises(OSError):
                     socket.create_connection(here.where)
                 for at in sockets:
@@ -182,20 +185,20 @@
         inbox, events = anyio.create_memory_object_stream[messages.Event](8)
         self.addCleanup(inbox.close)
         self.addCleanup(events.close)
-        hall = listener.Front(mock.Mock(), listener.SPARE_DESCRIPTORS + 1, 30.0, inbox)
-        connection = listener.Connection(ours, mock.Mock(), inbox)
+        hall = listener.Listener(mock.Mock(), listener.SPARE_DESCRIPTORS + 1, 30.0, inbox)
+        connection = listener.ClientConnection(ours, mock.Mock(), inbox)
         self.addCleanup(connection.outbox.close)
-        self.addCleanup(connection.unsent.close)
+        self.addCleanup(connection.outbox_reader.close)
         hall.connections.add(connection)
         theirs.send(b"\x94")
-        self.assertFalse(hall._make_room())
+        self.assertFalse(hall._evict_connection())
         for heard, leaving_since in [(True, 0.0), (False, float("inf"))]:
-            connection.heard, connection.leaving_since = heard, leaving_since
-            connection.half_since = float("inf") if heard else 0.0
-            hall._look(connection.used)
+            connection.has_sent_message, connection.notified_at = heard, leaving_since
+            connection.incomplete_since = float("inf") if heard else 0.0
+            hall._sweep(connection.used_at)
             self.assertFalse(connection.scope.cancel_called)
         ours.recv(1)
-        hall._look(connection.used)
+        hall._sweep(connection.used_at)
         self.assertTrue(connection.scope.cancel_called)
 
     async def test_a_connection_is_not_closed_over_an_answer_that_is_told_and_not_written(self) -> None:
@@ -204,22 +207,26 @@
         ours, theirs = socket.socketpair()
         self.addCleanup(theirs.close)
         inbox, events = anyio.create_memory_object_stream[messages.Event](8)
-        hall = listener.Front(mock.Mock(), listener.SPARE_DESCRIPTORS + 1, 30.0, inbox)
+        hall = listener.Listener(mock.Mock(), listener.SPARE_DESCRIPTORS + 1, 30.0, inbox)
         ours.setblocking(False)
-        connection = listener.Connection(ours, mock.Mock(), inbox)
+        connection = listener.ClientConnection(ours, mock.Mock(), inbox)
         hall.connections.add(connection)
         with inbox, events:
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(connection.run)
                 await anyio.wait_all_tasks_blocked()
-                connection.open = {number: f"{number}" for number in range(13)}
-                connection.heard, connection.half_since, connection.leaving_since = True, float("inf"), 0.0
+                connection.open_requests = {number: f"{number}" for number in range(13)}
+                connection.has_sent_message, connection.incomplete_since, connection.notified_at = (
+                    True,
+                    float("inf"),
+                    0.0,
+                )
                 for number in range(13):
-                    connection.tell(messages.Answer(number, messages.Verdict.FAIL))
-                self.assertFalse(hall._make_room())
-                hall._look(connection.used)
+                    connection.send(extensions.Answer(number, extensions.Verdict.FAILED))
+                self.assertFalse(hall._evict_connection())
+                hall._sweep(connection.used_at)
                 self.assertFalse(connection.scope.cancel_called)
-                await until(lambda: hall._look(connection.used) or connection.scope.cancel_called)
+                await until(lambda: hall._sweep(connection.used_at) or connection.scope.cancel_called)
         theirs.settimeout(20)
         unpacker = msgpack.Unpacker()
         while data := theirs.recv(1 << 14):
@@ -231,14 +238,14 @@
         many = 400
         async with place(Processor(calls=0), limits__sockets=1024) as here:
             await (known := await here.router()).answer(await known.check())
-            failed = counts["accept_failed"]
+            failed = counters["accepts_failed"]
             sockets = [socket.create_connection(here.where, timeout=20) for _ in range(many)]
             for at in sockets:
                 at.close()
             for _ in range(20):  # turns in which they come and go, however long each is
                 await known.answer(await known.check())
             self.assertIsNone((await known.answer(await known.ask("look", allow="2900")))[0])
-            self.assertEqual(counts["accept_failed"], failed)
+            self.assertEqual(counters["accepts_failed"], failed)
 
 
 class EarlySignals(unittest.TestCase):
@@ -271,24 +278,24 @@
 
     def test_a_signal_before_its_handler_is_heard_later(self) -> None:
         lines = self.server([signal.SIGTERM, signal.SIGHUP], 0)
-        self.assertTrue(any("what=leaving" in line for line in lines), lines)
-        self.assertTrue(any("what=left" in line for line in lines), lines)
+        self.assertTrue(any("event=graceful_shutdown_started" in line for line in lines), lines)
+        self.assertTrue(any("event=stopped" in line for line in lines), lines)
         self.assertTrue(self.server([signal.SIGHUP], None))
 
     def test_a_notice_that_waited_counts_from_the_first_moment_that_it_can_have_come(self) -> None:
-        with mock.patch.object(early_signals, "_since", None):
-            early_signals.hold()
-            first = early_signals._since
+        with mock.patch.object(early_signals, "_blocked_since", None):
+            early_signals.block()
+            first = early_signals._blocked_since
             os.kill(os.getpid(), signal.SIGHUP)
             self.assertEqual(signal.sigpending(), {signal.SIGHUP})
             ignored = signal.signal(signal.SIGHUP, signal.SIG_IGN)
-            self.assertIsNone(early_signals.let_go())
+            self.assertIsNone(early_signals.unblock())
             signal.signal(signal.SIGHUP, ignored)
-            early_signals.hold()
-            first = early_signals._since
+            early_signals.block()
+            first = early_signals._blocked_since
             notices: list[int] = []
             before = signal.signal(signal.SIGTERM, lambda number, _: notices.append(number))
             os.kill(os.getpid(), signal.SIGTERM)
-            self.assertEqual(early_signals.let_go(), first)
+            self.assertEqual(early_signals.unblock(), first)
             signal.signal(signal.SIGTERM, before)
             self.assertEqual(notices, [signal.SIGTERM])
