--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -23,22 +23,24 @@
 from fakes import slow_start as sim
 from tests.app_server import place, told
 from tests.conformance.tables import DASH, Row, played, rows
-from thymeyoke.admission.settings import Outcome
+from thymeyoke.admission.events import Outcome
 from thymeyoke.configuration import start_file
 from thymeyoke.runtime import logs
 from thymeyoke.server import dependency, endpoint_registry, messages
 from thymeyoke.slow_start import connector, heartbeat, rate_limiter, retry_budget
-from thymeyoke.slow_start.backoff import Failed, Waits
-from thymeyoke.slow_start.connector import Link, Standing
-from thymeyoke.slow_start.controller import HELD, ColdStart, Event, State
-from thymeyoke.slow_start.heartbeat import KEEP, SPAN, TOP
-from thymeyoke.slow_start.rate_limiter import Pace, Terms
-from thymeyoke.slow_start.retry_budget import Budget
+from thymeyoke.slow_start.backoff import CallBacklog, FailedCalls
+from thymeyoke.slow_start.connector import Connector, ConnectorStatus
+from thymeyoke.slow_start.controller import STALL_SECONDS, Event, StartupController, State
+from thymeyoke.slow_start.heartbeat import ENTRY_TTL_SECONDS, INTERVAL_SECONDS, MAX_STRETCH
+from thymeyoke.slow_start.rate_limiter import CallRateLimiter, RateLimits
+from thymeyoke.slow_start.retry_budget import RetryBudget
 
 PAGE = "docs/slow_start.md"
-TERMS = Terms(at_once=32.0, sure=4.0, tick=0.004, target=1.0, timeout=4.0)  # surely 4 calls a second
+TERMS = RateLimits(
+    max_concurrency=32.0, sure_concurrency=4.0, tick=0.004, latency_objective=1.0, client_timeout=4.0
+)  # surely 4 calls a second
 LONG = settings(derandomize=True, deadline=None, max_examples=150)
-OK, FULL, UNREACHED = Outcome.OK, Outcome.FULL, Outcome.UNREACHED
+OK, FULL, UNREACHED = Outcome.OK, Outcome.REJECTED, Outcome.UNREACHABLE
 
 
 class Life:
@@ -46,49 +48,52 @@
 
     def __init__(self, name: str = "n1", lived: float = 0.3, worked: float = 0.3) -> None:
         self.now = 100.0
-        self.cold = ColdStart(self.now, 7, name, TERMS, self.now - lived)
+        self.cold = StartupController(self.now, 7, name, TERMS, self.now - lived)
         self.cold.begin(self.now, worked)
-        self.beat, self.pace = self.cold.beat, self.cold.pace
+        self.beat, self.pace = self.cold.heartbeat, self.cold.rate_limiter
         self.sent: list[float] = []
         self.rate, self.took, self.of_use = 40.0, 0.01, inf  # calls a second, seconds of one and of its use
         self.late = 0  # calls
 
     def to_beat(self, late: float = 0.0) -> bool:
         """On to the next beat; whether a report went out."""
-        self.now = max(self.now, self.beat.moment) + late
-        if goes := self.cold.goes(self.now):
+        self.now = max(self.now, self.beat.wake_at) + late
+        if goes := self.cold.should_report(self.now):
             self.sent.append(self.now)
-            self.cold.sent(self.now)
+            self.cold.report_sent(self.now)
         return goes
 
     def reports(self, many: int, answered: bool = True, took: float = 0.01, late: float = 0.0) -> Life:
         for _ in range(many):
             if self.to_beat(late):
                 self.now += took
-                (self.cold.listed if answered else self.cold.unheard)(self.now)
+                (self.cold.report_accepted if answered else self.cold.report_failed)(self.now)
         return self
 
     def calls(self, span: float, *ends: Outcome) -> int:
         """Calls that come, go out as the pace has leave, and end so by turns, or late; how many went."""
         went, until, turns = 0, self.now + span, cycle(ends or (OK,))
-        waits, out = Waits[float](), deque[tuple[float, float, Outcome]]()
+        waits, out = CallBacklog[float](), deque[tuple[float, float, Outcome]]()
         while self.now < until:
             now = self.now = self.now + 1 / self.rate
-            self.pace.asked += 1
+            self.pace.first_attempts += 1
             waits.add(now, f"{now}", now, False, now + self.of_use)
-            for id in [id for id, one in waits.firsts.items() if one.until <= now]:
+            for id in [id for id, one in waits.first_attempts.items() if one.deadline <= now]:
                 waits.drop(id)
             while out and (out[0][0] <= now or now >= until):
                 _, born, end = out.popleft()
                 self.late += end is Outcome.TIMEOUT
-                self.cold.called(now, f"{born}", end, self.took)
-            while waits and self.pace.has(now) and (
-                    born := waits.next(now, self.cold.budget, self.pace.need)) is not None:  # fmt: skip
+                self.cold.call_ended(now, f"{born}", end, self.took)
+            while (
+                waits
+                and self.pace.has_token(now)
+                and (born := waits.take_next(now, self.cold.budget, self.pace.min_time_left)) is not None
+            ):
                 self.pace.spend(False)
                 back, end = min(now + self.took, born + self.of_use), next(turns)
                 out.append((back, born, end if back < born + self.of_use else Outcome.TIMEOUT))
                 went += 1
-            self.cold.look(now, waits.age(now))
+            self.cold.tick(now, waits.oldest_age(now))
         return went
 
     def state(self, state: State) -> Life:
@@ -112,24 +117,24 @@
 
 def event(case: unittest.TestCase, row: Row, state: State, what: Event) -> None:
     life = Life().state(state)
-    now, cold, pace_, was = life.now, life.cold, life.pace, life.pace.usual
-    facts: dict[Event, Callable[[], Any]] = {Event.SENT: lambda: cold.sent(now)}
-    facts[Event.FELL] = lambda: [cold.called(now, f"c{at}", FULL, 0.01) for at in range(4)]
-    facts[Event.HELD] = lambda: cold.stalled(now, KEEP + 0.1)
-    if life.beat.begun:
-        facts[Event.LISTED] = lambda: cold.listed(now)
-        facts[Event.UNLISTED] = lambda: cold.unheard(now + KEEP + 0.1)
+    now, cold, pace_, was = life.now, life.cold, life.pace, life.pace.usual_rate
+    facts: dict[Event, Callable[[], Any]] = {Event.REPORT_SENT: lambda: cold.report_sent(now)}
+    facts[Event.RATE_CUT] = lambda: [cold.call_ended(now, f"c{at}", FULL, 0.01) for at in range(4)]
+    facts[Event.STALLED] = lambda: cold.stalled(now, ENTRY_TTL_SECONDS + 0.1)
+    if life.beat.has_begun:
+        facts[Event.LISTED] = lambda: cold.report_accepted(now)
+        facts[Event.UNLISTED] = lambda: cold.report_failed(now + ENTRY_TTL_SECONDS + 0.1)
     if state is State.WARMING:
-        facts[Event.SOUND] = lambda: life.reports(3)
-    facts.get(what, lambda: cold.on(what))()  # or no fact leads to it in this state
+        facts[Event.DEPENDENCY_HEALTHY] = lambda: life.reports(3)
+    facts.get(what, lambda: cold.handle(what))()  # or no fact leads to it in this state
     if what in facts:
-        shut = what in (Event.FELL, Event.HELD)
-        case.assertEqual((pace_.open, pace_.when(now) > now), (not shut, shut))
-        case.assertTrue(what is not Event.UNLISTED or life.beat.retry == inf)  # beats alone
-        case.assertTrue(what is not Event.FELL or pace_.rate == max(pace_.floor, was / 2))
+        shut = what in (Event.RATE_CUT, Event.STALLED)
+        case.assertEqual((pace_.is_open, pace_.next_token_at(now) > now), (not shut, shut))
+        case.assertTrue(what is not Event.UNLISTED or life.beat.retry_at == inf)  # beats alone
+        case.assertTrue(what is not Event.RATE_CUT or pace_.rate == max(pace_.min_rate, was / 2))
     following = row["next state"]
     case.assertEqual(cold.state.name, state.name if following in DASH else following)
-    case.assertEqual(pace_.cold, cold.state is not State.WARM)
+    case.assertEqual(pace_.is_cold, cold.state is not State.WARM)
 
 
 class Page(unittest.TestCase):
@@ -155,144 +160,157 @@
         self.assertEqual(Life(lived=4 * 0.3 + 0.4).reports(1).sent, [100.0])
         many = [Life(f"n{at}", lived=4 * 0.3 + 0.5).reports(3) for at in range(100)]
         for life in many:
-            self.assertEqual(life.sent[0], 100.0 + life.beat.phase * SPAN)
-            self.assertAlmostEqual(life.sent[2] - life.sent[0], 2 * SPAN)
-        self.fills([life.sent[0] for life in many], 100.0, 100.0 + SPAN)
+            self.assertEqual(life.sent[0], 100.0 + life.beat.phase * INTERVAL_SECONDS)
+            self.assertAlmostEqual(life.sent[2] - life.sent[0], 2 * INTERVAL_SECONDS)
+        self.fills([life.sent[0] for life in many], 100.0, 100.0 + INTERVAL_SECONDS)
 
     def co_3_second_by_phase(self, _: Row) -> None:
         sent = [Life(f"n{at}").reports(2, at % 2 == 0).sent for at in range(100)]
         self.fills(
-            [second - first for first, second in sent], heartbeat.FIRST * SPAN, (heartbeat.FIRST + 1) * SPAN
+            [second - first for first, second in sent],
+            heartbeat.FIRST_GAP_INTERVALS * INTERVAL_SECONDS,
+            (heartbeat.FIRST_GAP_INTERVALS + 1) * INTERVAL_SECONDS,
         )
 
     def co_4_on_the_grid(self, _: Row) -> None:
         life = Life().reports(30, late=0.05)
-        self.assertAlmostEqual(life.sent[-1] - life.sent[1], 28 * SPAN, delta=0.06)
+        self.assertAlmostEqual(life.sent[-1] - life.sent[1], 28 * INTERVAL_SECONDS, delta=0.06)
 
     def co_5_late_is_left_out(self, _: Row) -> None:
         life = Life().reports(3)
-        place_ = life.beat.next
-        self.assertFalse(life.to_beat(late=4.2 * SPAN))
-        self.assertAlmostEqual(life.beat.next, place_ + 5 * SPAN)
+        place_ = life.beat.next_at
+        self.assertFalse(life.to_beat(late=4.2 * INTERVAL_SECONDS))
+        self.assertAlmostEqual(life.beat.next_at, place_ + 5 * INTERVAL_SECONDS)
         self.assertTrue(life.to_beat())
         for failed in range(3, 9):  # each wake late, and one report refused: the entry lives on
             life = Life(f"n{failed}")
             for at in range(20):
-                heard = max(life.beat.heard, 100.0)
-                self.assertLess(life.reports(1, at != failed, late=0.08).now, heard + KEEP, failed)
+                heard = max(life.beat.last_answered_at, 100.0)
+                self.assertLess(
+                    life.reports(1, at != failed, late=0.08).now, heard + ENTRY_TTL_SECONDS, failed
+                )
 
     def co_6_late_every_time(self, _: Row) -> None:
         life = Life().reports(2)
         self.assertEqual([len(life.reports(1, late=0.2).sent) for _at in range(6)], [2, 3, 3, 4, 4, 5])
 
     def co_7_8_stretches_and_shrinks(self, _: Row) -> None:
-        for answered, took in ((False, 0.0), (True, 0.6 * SPAN)):
+        for answered, took in ((False, 0.0), (True, 0.6 * INTERVAL_SECONDS)):
             life = Life().reports(3, answered, took)
-            self.assertEqual(life.beat.stretch, TOP)
+            self.assertEqual(life.beat.stretch, MAX_STRETCH)
             sent = life.reports(40, answered, took).sent[5:]
-            self.fills([after - before for before, after in pairwise(sent)], SPAN, TOP * SPAN, 1 / 4)
+            self.fills(
+                [after - before for before, after in pairwise(sent)],
+                INTERVAL_SECONDS,
+                MAX_STRETCH * INTERVAL_SECONDS,
+                1 / 4,
+            )
             for at in range(1, 9):
-                self.assertAlmostEqual(life.reports(1).beat.stretch, max(1.0, TOP - 0.1 * at))
+                self.assertAlmostEqual(life.reports(1).beat.stretch, max(1.0, MAX_STRETCH - 0.1 * at))
 
     def co_9_lives_on(self, _: Row) -> None:
         life = Life().state(State.WARM)
         for _at in range(8):
-            heard = life.reports(1).beat.heard
+            heard = life.reports(1).beat.last_answered_at
             life.reports(3, False)
-            self.assertEqual((life.beat.stretch, life.beat.retry), (1.0, inf))
-            self.assertLessEqual(life.sent[-1], heard + KEEP - 0.25)
-            life.reports(1).reports(2, False, took=SPAN)  # not answered until given up
+            self.assertEqual((life.beat.stretch, life.beat.retry_at), (1.0, inf))
+            self.assertLessEqual(life.sent[-1], heard + ENTRY_TTL_SECONDS - 0.25)
+            life.reports(1).reports(2, False, took=INTERVAL_SECONDS)  # not answered until given up
             self.assertEqual((life.beat.stretch, life.cold.state), (1.0, State.WARM))
-        self.assertEqual(life.cold.budget.left, life.cold.budget.size)
+        self.assertEqual(life.cold.budget.available, life.cold.budget.size)
 
     def co_10_repeat_before_a_lapse(self, _: Row) -> None:
         shares = []
         for at in range(60):
             life = Life(f"n{at}")
-            purse, one = life.cold.budget, life.state(State.WARM).reports(6, took=0.6 * SPAN).beat
-            self.assertEqual(one.stretch, TOP)
-            left = purse.left
+            purse, one = life.cold.budget, life.state(State.WARM).reports(6, took=0.6 * INTERVAL_SECONDS).beat
+            self.assertEqual(one.stretch, MAX_STRETCH)
+            left = purse.available
             life.reports(2, False)
-            if one.next + 0.225 <= one.heard + KEEP:  # spans are drawn: the next beat is in time
-                self.assertEqual(one.retry, inf)
-            elif one.retry < inf:
-                self.assertTrue(life.now <= one.retry <= one.heard + KEEP - 0.225)
-                self.assertEqual(purse.left, left - 1)
-                shares.append(one.retry - life.now)
-                self.assertEqual(life.reports(1, False).beat.retry, inf)  # one, and no more
+            if (
+                one.next_at + 0.225 <= one.last_answered_at + ENTRY_TTL_SECONDS
+            ):  # spans are drawn: the next beat is in time
+                self.assertEqual(one.retry_at, inf)
+            elif one.retry_at < inf:
+                self.assertTrue(life.now <= one.retry_at <= one.last_answered_at + ENTRY_TTL_SECONDS - 0.225)
+                self.assertEqual(purse.available, left - 1)
+                shares.append(one.retry_at - life.now)
+                self.assertEqual(life.reports(1, False).beat.retry_at, inf)  # one, and no more
         self.assertGreater(len(shares), 10)
         self.assertGreater(max(shares) - min(shares), 0.2)
-        life = Life().state(State.WARM).reports(6, took=0.6 * SPAN)
-        life.cold.budget.left, life.cold.budget.probe_at = 0.0, life.now + 60
-        self.assertEqual(life.reports(2, False).beat.retry, inf)
+        life = Life().state(State.WARM).reports(6, took=0.6 * INTERVAL_SECONDS)
+        life.cold.budget.available, life.cold.budget.probe_at = 0.0, life.now + 60
+        self.assertEqual(life.reports(2, False).beat.retry_at, inf)
 
     def co_11_no_repeat_unlisted(self, _: Row) -> None:
         life = Life()
-        self.assertEqual([life.reports(1, False).beat.retry for _at in range(20)], [inf] * 20)
-        self.assertEqual(life.cold.budget.left, life.cold.budget.size)
+        self.assertEqual([life.reports(1, False).beat.retry_at for _at in range(20)], [inf] * 20)
+        self.assertEqual(life.cold.budget.available, life.cold.budget.size)
 
     def co_12_given_up(self, _: Row) -> None:
         life = Life().reports(6, False, took=0.0)
         for _at in range(5):
-            now = life.now = life.beat.moment
-            until = life.cold.sent(now)
-            self.assertEqual(until, min(now + heartbeat.PATIENCE, life.beat.next))
-            self.assertGreaterEqual(until, now + heartbeat.PATIENCE / 2)
+            now = life.now = life.beat.wake_at
+            until = life.cold.report_sent(now)
+            self.assertEqual(until, min(now + heartbeat.REPORT_TIMEOUT_SECONDS, life.beat.next_at))
+            self.assertGreaterEqual(until, now + heartbeat.REPORT_TIMEOUT_SECONDS / 2)
 
     def co_13_out_of_turn(self, _: Row) -> None:
         life = Life().reports(3)
-        place_ = life.beat.next
-        for moment, following in ((life.now + 0.2, place_), (place_ - 0.1, place_ + SPAN)):
-            life.beat.at_once(moment)  # the second one stands for the beat right behind it
-            self.assertTrue(life.cold.goes(moment))
-            life.cold.sent(moment)
-            self.assertEqual(life.beat.next, following)
+        place_ = life.beat.next_at
+        for moment, following in ((life.now + 0.2, place_), (place_ - 0.1, place_ + INTERVAL_SECONDS)):
+            life.beat.send_now(moment)  # the second one stands for the beat right behind it
+            self.assertTrue(life.cold.should_report(moment))
+            life.cold.report_sent(moment)
+            self.assertEqual(life.beat.next_at, following)
 
     def plays(self, life: Life, *steps: Any) -> None:
         """Steps: seconds of calls, whether the pace is open behind them, how the calls end by turns."""
         for span, is_open, *ends in steps:
             life.calls(span, *ends)
-            self.assertEqual(life.pace.open, is_open, (span, ends))
+            self.assertEqual(life.pace.is_open, is_open, (span, ends))
 
     def co_14_open(self, _: Row) -> None:
         life = Life()
         life.rate = 500.0
         self.assertAlmostEqual(life.calls(4.0), 2000, delta=1)
-        self.assertTrue(life.pace.open)
-        terms = rate_limiter.terms(start_file.start(7, told()["settings"]))
-        self.assertEqual((terms.at_once, terms.sure, terms.top), (8.0, 8.0, 8.0 / 0.004))
+        self.assertTrue(life.pace.is_open)
+        terms = rate_limiter.rate_limits(start_file.read_admission_settings(7, told()["settings"]))
+        self.assertEqual(
+            (terms.max_concurrency, terms.sure_concurrency, terms.max_rate), (8.0, 8.0, 8.0 / 0.004)
+        )
 
     def co_15_cold(self, _: Row) -> None:
         for outcome in (FULL, UNREACHED):
             life = Life().state(State.WARMING)
             life.calls(6.0)
-            usual = life.pace.usual
+            usual = life.pace.usual_rate
             self.assertAlmostEqual(usual, 40.0, delta=4.0)
-            life.pace.good = 3.0
-            life.cold.called(life.now, "x", outcome, 0.0)
+            life.pace.good_answers = 3.0
+            life.cold.call_ended(life.now, "x", outcome, 0.0)
             self.assertAlmostEqual(life.pace.rate, usual / 2)
 
     def co_16_warm(self, _: Row) -> None:
-        self.plays(Life().warm(), (10.0, True, *(OK,) * 14, *(Outcome.CUT,) * 4, FULL))
+        self.plays(Life().warm(), (10.0, True, *(OK,) * 14, *(Outcome.CONNECTION_LOST,) * 4, FULL))
 
     def co_17_refuses_all(self, _: Row) -> None:
         self.plays(life := Life().warm(), (0.8, False, UNREACHED))
         self.assertAlmostEqual(life.pace.rate, 20.0, delta=2.5)
         for one in (life, Life().warm(5.0)):
             one.calls(10.0, UNREACHED)
-            self.assertAlmostEqual(one.pace.rate, one.pace.floor, delta=0.3)
-            self.assertAlmostEqual(one.calls(20.0, UNREACHED), 20.0 * one.pace.floor, delta=6)
+            self.assertAlmostEqual(one.pace.rate, one.pace.min_rate, delta=0.3)
+            self.assertAlmostEqual(one.calls(20.0, UNREACHED), 20.0 * one.pace.min_rate, delta=6)
 
     def co_18_rises(self, _: Row) -> None:
         life = Life().warm()
-        usual = life.pace.usual
+        usual = life.pace.usual_rate
         life.calls(12.0, UNREACHED)
         low = life.pace.rate
         life.calls(1.0)
         self.assertAlmostEqual(life.pace.rate, low + 0.9 * usual, delta=usual / 4)
         life.rate = 90.0  # so many that some always wait
         rates = [life.pace.rate for _at in range(2) if life.calls(1.0)]
-        self.assertTrue(1.1 * usual < max(rates) <= 1.2 * life.pace.kept + 0.1, rates)
+        self.assertTrue(1.1 * usual < max(rates) <= 1.2 * life.pace.usual_when_closed + 0.1, rates)
         self.plays(life, (16.0, True))  # still, and of an even kind: there are more calls now
 
     def co_19_opens(self, _: Row) -> None:
@@ -301,30 +319,34 @@
     def co_20_does_not_open(self, _: Row) -> None:
         self.plays(life := Life().warm(), (2.0, False, UNREACHED))
         life.now += 60.0  # nothing is asked
-        life.cold.look(life.now, 0.0)
-        self.assertFalse(life.pace.open)
+        life.cold.tick(life.now, 0.0)
+        self.assertFalse(life.pace.is_open)
 
     def co_21_oldest_first(self, _: Row) -> None:
-        waits, purse = Waits[str](most=4), Budget(0.0)
-        purse.left, purse.probe_at = 0.0, 5.0
+        waits, purse = CallBacklog[str](max_calls=4), RetryBudget(0.0)
+        purse.available, purse.probe_at = 0.0, 5.0
         for id in ("r1", "f1", "r2", "f2"):
             self.assertTrue(waits.add(0.0, id, id, id[0] == "r"))
         self.assertFalse(waits.add(0.0, "f3", "f3", False) or waits.add(0.0, "r1", "r1", True))
-        self.assertEqual(waits.age(2.0), 2.0)
-        self.assertEqual([waits.next(0.0, purse) for _at in range(3)], ["f1", "f2", None])
-        self.assertEqual((waits.when(0.0, purse), waits.drop("r9")), (5.0, None))
-        purse.left = 1.0
+        self.assertEqual(waits.oldest_age(2.0), 2.0)
+        self.assertEqual([waits.take_next(0.0, purse) for _at in range(3)], ["f1", "f2", None])
+        self.assertEqual((waits.next_at(0.0, purse), waits.drop("r9")), (5.0, None))
+        purse.available = 1.0
         self.assertTrue(waits.add(0.05, "f4", "f4", False))
-        self.assertEqual([waits.next(0.05, purse) for _at in range(3)], ["r1", "f4", None])
-        self.assertEqual((waits.drop("r2"), len(waits), waits.when(1.0, purse)), ("r2", 0, inf))
-        purse.left = 1.0
+        self.assertEqual([waits.take_next(0.05, purse) for _at in range(3)], ["r1", "f4", None])
+        self.assertEqual((waits.drop("r2"), len(waits), waits.next_at(1.0, purse)), ("r2", 0, inf))
+        purse.available = 1.0
         for id, repeat, until in (("a", False, 1.0), ("b", True, 1.1), ("c", False, 1.2), ("d", True, 9.0)):
             self.assertTrue(waits.add(0.0, id, id, repeat, until))
-        self.assertEqual((waits.next(0.9, purse, 0.25), waits.spent, purse.left), ("c", ["a", "b"], 1.0))
-        self.assertEqual((waits.next(5.0, purse, 99.0), purse.left), (None, 1.0))  # past half of its own
-        self.assertEqual((waits.spent, len(waits)), (["a", "b", "d"], 0))
+        self.assertEqual(
+            (waits.take_next(0.9, purse, 0.25), waits.expired, purse.available), ("c", ["a", "b"], 1.0)
+        )
+        self.assertEqual(
+            (waits.take_next(5.0, purse, 99.0), purse.available), (None, 1.0)
+        )  # past half of its own
+        self.assertEqual((waits.expired, len(waits)), (["a", "b", "d"], 0))
         waits.add(5.0, "e", "e", False, 6.0)
-        self.assertEqual(waits.next(5.4, purse, 99.0), "e")
+        self.assertEqual(waits.take_next(5.4, purse, 99.0), "e")
 
     @on_loop
     async def co_22_back_as_never_run(self, _: Row) -> None:
@@ -333,8 +355,8 @@
             here.ask("b")
             self.assertEqual(await here.over(1), [("a", UNREACHED)])
             self.assertGreaterEqual(time.time(), until)
-            here.calls.tell(messages.GiveUp("b"))
-            await here.settled(lambda: not here.calls.waits)
+            here.calls.send(messages.AbandonCall("b"))
+            await here.settled(lambda: not here.calls.backlog)
             self.assertEqual(here.base.heard, [])
 
     def co_23_held(self, _: Row) -> None:
@@ -344,15 +366,15 @@
             life.now += 4.0
             life.cold.stalled(life.now, 4.0)
             self.assertAlmostEqual(life.pace.rate, 10.0, delta=1.5)
-            moments.append(life.pace.when(life.now) - life.now)
+            moments.append(life.pace.next_token_at(life.now) - life.now)
         self.assertTrue(0.09 <= min(moments) < 0.12 and 0.17 < max(moments) <= 0.23)
         life = Life().state(State.WARM)
-        life.cold.stalled(life.now, HELD)  # late as a busy process is
-        self.assertTrue(life.pace.open)
+        life.cold.stalled(life.now, STALL_SECONDS)  # late as a busy process is
+        self.assertTrue(life.pace.is_open)
 
     def co_24_moved(self, _: Row) -> None:
         self.plays(life := Life().warm(), (4.0, False, UNREACHED))
-        life.pace.moved(life.now)
+        life.pace.address_changed(life.now)
         self.assertAlmostEqual(life.pace.rate, 40.0, delta=4.0)
         self.plays(life, (6.0, True))
 
@@ -363,52 +385,58 @@
 
     def co_26_27_budget(self, _: Row) -> None:
         """Once it is empty one each 2 s, and one for five that worked."""
-        purse = Budget(0.0)
+        purse = RetryBudget(0.0)
         went = [at for at in (*[0] * 40, *range(160)) if purse.take(at / 8)]
-        self.assertEqual((went, purse.when(19.9)), ([*[0] * 16, *range(16, 160, 16)], 20.0))
+        self.assertEqual((went, purse.next_retry_at(19.9)), ([*[0] * 16, *range(16, 160, 16)], 20.0))
         for _at in range(5):
-            purse.won()
+            purse.record_success()
         self.assertEqual((purse.take(19.9), purse.take(19.9)), (True, False))
 
     def co_28_link_lost(self, _: Row) -> None:
-        one = Link(0.0, Random(1), purse := Budget(0.0))
+        one = Connector(0.0, Random(1), purse := RetryBudget(0.0))
         for at in range(5):
-            one.taken(at)
-            one.up(at)
-            self.assertEqual((one.lost(at + 0.5), purse.left), (connector.FIRST, purse.size))
+            one.connected(at)
+            one.ready(at)
+            self.assertEqual(
+                (one.connection_lost(at + 0.5), purse.available),
+                (connector.FIRST_BACKOFF_SECONDS, purse.size),
+            )
 
     def co_29_link_refused(self, _: Row) -> None:
         tops = [min(0.5, 0.02 * 2**tries) for tries in range(1, 9)]
         drawn = []
         for seed in range(200):
-            one = Link(0.0, Random(seed), purse := Budget(0.0))
-            drawn.append([one.refused(1.0) for _top in tops])
-            self.assertEqual(purse.left, purse.size - len(tops))
-            purse.left, purse.probe_at = 0.0, 9.0
-            self.assertTrue(0.25 <= one.refused(1.0) <= 0.5)
+            one = Connector(0.0, Random(seed), purse := RetryBudget(0.0))
+            drawn.append([one.connect_failed(1.0) for _top in tops])
+            self.assertEqual(purse.available, purse.size - len(tops))
+            purse.available, purse.probe_at = 0.0, 9.0
+            self.assertTrue(0.25 <= one.connect_failed(1.0) <= 0.5)
         for top, pauses in zip(tops, zip(*drawn, strict=True), strict=True):
             self.assertTrue(min(pauses) >= 0.01 and 0.8 * top < max(pauses) <= top)
 
     def co_30_link_slow(self, _: Row) -> None:
-        one = Link(0.0, Random(1), Budget(0.0))
-        one.taken(0.1)
-        found = [one.standing(at) for at in (1.0, 11.0, 3600.0)]
-        one.up(3601.0)
-        self.assertEqual([*found, one.standing(3700.0)], [Standing.COMING, *[Standing.SLOW] * 2, Standing.UP])
+        one = Connector(0.0, Random(1), RetryBudget(0.0))
+        one.connected(0.1)
+        found = [one.status(at) for at in (1.0, 11.0, 3600.0)]
+        one.ready(3601.0)
+        self.assertEqual(
+            [*found, one.status(3700.0)],
+            [ConnectorStatus.CONNECTING, *[ConnectorStatus.SLOW] * 2, ConnectorStatus.READY],
+        )
 
     def co_31_link_failed(self, _: Row) -> None:
         for closes in (False, True):
-            one, now = Link(0.0, Random(1), purse := Budget(0.0)), 0.0
-            fails = one.lost if closes else one.refused
-            while now < connector.PATIENCE:
-                self.assertEqual(one.standing(now), Standing.COMING)
-                one.taken(now) if closes else None
+            one, now = Connector(0.0, Random(1), purse := RetryBudget(0.0)), 0.0
+            fails = one.connection_lost if closes else one.connect_failed
+            while now < connector.START_TIMEOUT_SECONDS:
+                self.assertEqual(one.status(now), ConnectorStatus.CONNECTING)
+                one.connected(now) if closes else None
                 now += fails(now)
-            self.assertEqual(one.standing(now), Standing.FAILED)
-            purse.left = purse.size
-            pauses = [one.refused(now), *(fails(now) for _at in range(5000))]  # for half an hour
+            self.assertEqual(one.status(now), ConnectorStatus.FAILED)
+            purse.available = purse.size
+            pauses = [one.connect_failed(now), *(fails(now) for _at in range(5000))]  # for half an hour
             self.assertTrue(0.25 <= min(pauses) <= max(pauses) <= 0.5)
-            self.assertEqual(purse.left, purse.size)
+            self.assertEqual(purse.available, purse.size)
 
     def co_32_opens_behind_a_line(self, _: Row) -> None:
         """Each call of use for a second, before a database that answers after 30 ms, but the first one."""
@@ -428,8 +456,8 @@
             self.plays(life := Life().warm(), (24.0, True))
             for span in looks:
                 life.now += span
-                life.cold.look(life.now, 0.0)
-            life.cold.called(life.now, "x", FULL, 0.01)
+                life.cold.tick(life.now, 0.0)
+            life.cold.call_ended(life.now, "x", FULL, 0.01)
             self.assertAlmostEqual(life.pace.rate, 20.0, delta=2.0)
             self.plays(life, (6.0, True))
 
@@ -439,19 +467,21 @@
             here.ask("a")
             await here.base.until(lambda: here.base.heard)
             here.ask("b")
-            here.calls.tell(messages.Move(None))  # type: ignore[arg-type]
+            here.calls.send(messages.AddressChanged(None))  # type: ignore[arg-type]
             self.assertEqual(await here.over(1), [("b", UNREACHED)])
-            here.calls.tell(messages.Move(here.where))
+            here.calls.send(messages.AddressChanged(here.where))
             here.shut()
-            here.calls.next_look = time.time() + 60.0  # it is not before this that it would look by itself
-            here.calls.cold.failed.note(time.time(), "e")
+            here.calls.next_sweep_at = (
+                time.time() + 60.0
+            )  # it is not before this that it would look by itself
+            here.calls.startup.failed_calls.add(time.time(), "e")
             here.ask("cde")
-            await here.settled(lambda: len(here.calls.waits) == 3)
-            here.calls.tell(messages.Move(None))  # type: ignore[arg-type]
+            await here.settled(lambda: len(here.calls.backlog) == 3)
+            here.calls.send(messages.AddressChanged(None))  # type: ignore[arg-type]
             self.assertEqual(sorted(await here.over(3)), [(id, UNREACHED) for id in "cde"])
-            self.assertFalse(here.calls.tell(messages.Call("f", time.time() + 9, b"x")))
-            self.assertTrue(here.calls.tell(messages.GiveUp("a")))  # it is still out, where it was
-            await here.settled(lambda: not here.calls.calls)
+            self.assertFalse(here.calls.send(messages.StartCall("f", time.time() + 9, b"x")))
+            self.assertTrue(here.calls.send(messages.AbandonCall("a")))  # it is still out, where it was
+            await here.settled(lambda: not here.calls.in_flight)
             self.assertEqual(here.events.statistics().current_buffer_used, 0)
 
     @on_loop
@@ -459,10 +489,10 @@
         async with calling(shut=True) as here:
             still = dependency.clock()
             with mock.patch.object(dependency, "clock", lambda: still):
-                here.calls.pace.rate, here.calls.pace.tokens = 40.0, -1.0
+                here.calls.rate_limiter.rate, here.calls.rate_limiter.tokens = 40.0, -1.0
                 here.ask("abc")
                 self.assertEqual(await here.over(3), [(id, OK) for id in "abc"])
-            self.assertFalse(here.calls.pace.open)
+            self.assertFalse(here.calls.rate_limiter.is_open)
 
 
 class Bounds(unittest.TestCase):
@@ -470,18 +500,23 @@
     @given(st.lists(st.tuples(st.floats(0, 3), st.booleans()), max_size=120), st.floats(0, 64))
     def test_repeats(self, steps: list[tuple[float, bool]], size: float) -> None:
         """Never more than the size, a tenth of what worked, and the floor; never fewer than the floor."""
-        purse, now, took, won, last = Budget(0.0, size), 0.0, 0, 0, 0.0
+        purse, now, took, won, last = RetryBudget(0.0, size), 0.0, 0, 0, 0.0
         for span, works in steps:
             now, won = now + span, won + works
-            purse.won() if works else None
-            had, due, went = purse.has(now), purse.when(now) <= now, purse.take(now)
+            purse.record_success() if works else None
+            had, due, went = purse.can_retry(now), purse.next_retry_at(now) <= now, purse.take(now)
             self.assertEqual((had, due), (went, went))
-            self.assertTrue(went or now < last + retry_budget.PROBE)
+            self.assertTrue(went or now < last + retry_budget.PROBE_SECONDS)
             took, last = took + went, now if went else last
             self.assertLessEqual(
-                took, purse.size + retry_budget.FILL * won + now / retry_budget.PROBE + 1 + 1e-6
+                took,
+                purse.size
+                + retry_budget.REFILL_PER_SUCCESS * won
+                + now / retry_budget.PROBE_SECONDS
+                + 1
+                + 1e-6,
             )
-            self.assertTrue(0 <= purse.left <= purse.size)
+            self.assertTrue(0 <= purse.available <= purse.size)
 
     @LONG
     @given(st.integers(0, 99), st.lists(
@@ -489,23 +524,23 @@
         max_size=150))  # fmt: skip
     def test_pace(self, seed: int, steps: list[tuple[float, Outcome, float, bool]]) -> None:
         """Closed, it stays between floor and cap, lets out what the rate says at most, and never nothing."""
-        one, now, booked, allowed = Pace(0.0, Random(seed), TERMS), 0.0, 0, 1.0
+        one, now, booked, allowed = CallRateLimiter(0.0, Random(seed), TERMS), 0.0, 0, 1.0
         for span, outcome, took, cold in steps:
-            now, one.cold = now + span, cold
-            one.asked += 1
-            was_open = one.open
+            now, one.is_cold = now + span, cold
+            one.first_attempts += 1
+            was_open = one.is_open
             booked, allowed = (0, 1.0) if was_open else (booked, allowed + span * one.rate)
-            if was_open or one.has(now):
+            if was_open or one.has_token(now):
                 one.spend(False)
-                one.heard(now, outcome, took)
+                one.call_ended(now, outcome, took)
                 booked += not was_open
-            one.look(now)
-            if not one.open:
-                self.assertTrue(one.floor <= one.rate <= one.cap)
+            one.tick(now)
+            if not one.is_open:
+                self.assertTrue(one.min_rate <= one.rate <= one.rate_cap)
                 self.assertLessEqual(
                     booked, allowed / (1 - rate_limiter.JITTER)
                 )  # each costs half a token at least
-                self.assertLessEqual(one.when(now), now + 2 / one.floor)
+                self.assertLessEqual(one.next_token_at(now), now + 2 / one.min_rate)
 
     @LONG
     @given(st.integers(0, 999), st.lists(st.tuples(
@@ -518,31 +553,36 @@
             answered = answered or failed  # one in a row
             if not life.to_beat(late):
                 continue
-            given_up = min(life.now + heartbeat.PATIENCE, life.beat.next)
+            given_up = min(life.now + heartbeat.REPORT_TIMEOUT_SECONDS, life.beat.next_at)
             life.now = given_up if silent and not answered else life.now + took
-            if life.beat.heard > 0:
-                self.assertLess(life.now, life.beat.heard + KEEP)
-            (life.cold.listed if answered else life.cold.unheard)(life.now)
+            if life.beat.last_answered_at > 0:
+                self.assertLess(life.now, life.beat.last_answered_at + ENTRY_TTL_SECONDS)
+            (life.cold.report_accepted if answered else life.cold.report_failed)(life.now)
             failed = not answered
 
     def test_phases_are_even_and_their_own(self) -> None:
         """By name though all have one seed, by seed though all have one name."""
-        for made in (lambda at: ColdStart(0.0, 7, f"n{at}"), lambda at: ColdStart(0.0, at, "n")):
-            phases = sorted(made(at).beat.phase for at in range(1000))
+        for made in (
+            lambda at: StartupController(0.0, 7, f"n{at}"),
+            lambda at: StartupController(0.0, at, "n"),
+        ):
+            phases = sorted(made(at).heartbeat.phase for at in range(1000))
             for at, phase in enumerate(phases):
                 self.assertAlmostEqual(phase, at / 1000, delta=0.06)
-        self.assertEqual(ColdStart(0.0, 7, "n").beat.phase, ColdStart(5.0, 7, "n").beat.phase)
+        self.assertEqual(
+            StartupController(0.0, 7, "n").heartbeat.phase, StartupController(5.0, 7, "n").heartbeat.phase
+        )
 
     def test_ids_that_failed(self) -> None:
-        failed = Failed(4.0, most=3)
+        failed = FailedCalls(4.0, max_entries=3)
         for at, id in enumerate("abcad"):
-            failed.note(float(at), id)
+            failed.add(float(at), id)
         self.assertEqual([id for id in "abcd" if id in failed], ["a", "c", "d"])
-        failed.worked("c")
-        failed.forget(7.0)
-        self.assertEqual(list(failed.until), ["d"])
-        failed.forget(8.0)
-        self.assertFalse(failed.until)
+        failed.remove("c")
+        failed.expire(7.0)
+        self.assertEqual(list(failed.expires_at), ["d"])
+        failed.expire(8.0)
+        self.assertFalse(failed.expires_at)
 
 
 class Simulated(unittest.TestCase):
@@ -557,8 +597,8 @@
             with self.subTest(what.__name__):
                 now, before = sim.play(what), sim.play(what, old=True)
                 self.assertLessEqual(max(now.reports, now.calls), 2.0, now)
-                self.assertTrue(now.fallen == 0 and now.gap < KEEP and now.listed < inf, now)
-                self.assertLessEqual(now.again, TOP * SPAN + 0.1)
+                self.assertTrue(now.fallen == 0 and now.gap < ENTRY_TTL_SECONDS and now.listed < inf, now)
+                self.assertLessEqual(now.again, MAX_STRETCH * INTERVAL_SECONDS + 0.1)
                 self.assertTrue(what not in reports or before.reports > 4.0, before)
                 self.assertTrue(what not in calls or before.calls > 4.0, before)
 
@@ -572,8 +612,8 @@
         """The proof can fail: one phase for all, no beat that is left out, no call that is cut."""
         for place_, name, value, play, loads in (
             (heartbeat.Random, "random", lambda self: 0.5, sim.let_go_at_once, "reports"),
-            (heartbeat, "LATE", inf, sim.let_go_at_once, "reports"),
-            (rate_limiter, "SHARE", inf, sim.both_back, "calls"),
+            (heartbeat, "LATENESS_TOLERANCE", inf, sim.let_go_at_once, "reports"),
+            (rate_limiter, "FAULT_SHARE", inf, sim.both_back, "calls"),
         ):
             with mock.patch.object(place_, name, value):
                 self.assertGreater(getattr(sim.play(play), loads), 2.0)
@@ -585,18 +625,20 @@
     def __init__(self, base: Database) -> None:
         self.base, self.where = base, start_file.Address("127.0.0.1", base.port)
         self.inbox, self.events = anyio.create_memory_object_stream[Any](64)
-        self.calls = dependency.Database(self.where, self.inbox, ColdStart(time.time(), 7, "n", TERMS))
+        self.calls = dependency.DependencyClient(
+            self.where, self.inbox, StartupController(time.time(), 7, "n", TERMS)
+        )
 
     def shut(self) -> None:
         """Nothing has leave for a while."""
-        one = self.calls.pace
-        one._shut(time.time())
-        one.kept, one.rate, one.tokens = 0.0, one.floor, -60.0
+        one = self.calls.rate_limiter
+        one._close(time.time())
+        one.usual_when_closed, one.rate, one.tokens = 0.0, one.min_rate, -60.0
 
     def ask(self, ids: Iterable[str], within: float = 9.0) -> float:
         until = time.time() + within
         for id in ids:
-            self.calls.tell(messages.Call(id, until, b"x"))
+            self.calls.send(messages.StartCall(id, until, b"x"))
         return until
 
     async def over(self, many: int) -> list[tuple[str, Outcome]]:
@@ -618,62 +660,64 @@
         tasks.start_soon(here.calls.run)
         yield here
         tasks.cancel_scope.cancel()
-    for mailbox in (here.inbox, here.events, here.calls.outbox, here.calls.unsent):
+    for mailbox in (here.inbox, here.events, here.calls.outbox, here.calls.outbox_reader):
         mailbox.close()
 
 
 class Actors(unittest.IsolatedAsyncioTestCase):
     def setUp(self) -> None:
-        logs.counts.clear()
+        logs.counters.clear()
 
     async def test_calls_wait_for_leave_and_go_out_oldest_first(self) -> None:
         """For one more there is no room, which is told at once."""
         async with calling(shut=True) as here:
-            here.calls.waits.most = 3
+            here.calls.backlog.max_calls = 3
             here.ask("abcd")
             self.assertEqual(await here.over(1), [("d", UNREACHED)])
-            counts = [logs.counts[name] for name in ("calls_waited", "calls_turned_away")]
+            counts = [logs.counters[name] for name in ("calls_delayed", "calls_over_backlog")]
             self.assertEqual((here.base.heard, counts), ([], [3, 1]))
-            here.calls.pace.tokens = 3.0
-            here.calls.tell(messages.GiveUp("none"))  # it looks in again
+            here.calls.rate_limiter.tokens = 3.0
+            here.calls.send(messages.AbandonCall("none"))  # it looks in again
             self.assertEqual(await here.over(1), [("a", OK)])
-            here.calls.pace.rate = TERMS.top
-            here.calls.tell(messages.GiveUp("none"))
+            here.calls.rate_limiter.rate = TERMS.max_rate
+            here.calls.send(messages.AbandonCall("none"))
             self.assertEqual([outcome for _, outcome in await here.over(2)], [OK] * 2)
             self.assertEqual(here.base.heard, ["Q a", "Q b", "Q c"])
 
     async def test_given_up_on_a_connection_that_is_just_ending(self) -> None:
-        line = dependency.Line(start_file.Address("127.0.0.1", 1), mock.AsyncMock())
+        line = dependency.DependencyConnection(start_file.Address("127.0.0.1", 1), mock.AsyncMock())
         for id in "ab":
-            self.assertTrue(line.call(messages.Call(id, time.time() + 9, b"x"), time.time()))
+            self.assertTrue(line.start(messages.StartCall(id, time.time() + 9, b"x"), time.time()))
         line.outbox.close()
-        line.unsent.close()
-        self.assertIsNotNone(line.give_up("a"))
+        line.outbox_reader.close()
+        self.assertIsNotNone(line.abandon("a"))
 
     async def test_a_repeat_without_budget_waits_and_holds_up_no_first_try(self) -> None:
         async with calling("FULL") as here:
             here.ask("a")
             await here.over(1)
-            here.calls.pace.rate, purse = TERMS.top, here.calls.cold.budget
-            purse.left, purse.probe_at = 0.0, time.time() + 60
+            here.calls.rate_limiter.rate, purse = TERMS.max_rate, here.calls.startup.budget
+            purse.available, purse.probe_at = 0.0, time.time() + 60
             here.ask("ab")
             self.assertEqual(await here.over(1), [("b", FULL)])
             self.assertEqual(here.base.heard, ["Q a", "Q b"])
-            self.assertIsNotNone(here.calls.waits.get("a"))
+            self.assertIsNotNone(here.calls.backlog.get("a"))
 
     async def test_a_database_that_is_back_is_not_overrun(self) -> None:
         """Twenty calls wait when it comes back; once all of them went out at once."""
         async with calling() as here:
-            here.calls.where = start_file.Address("127.0.0.1", 1)
+            here.calls.address = start_file.Address("127.0.0.1", 1)
             here.ask(map(str, range(20)), 30)
-            await here.settled(lambda: not here.calls.pace.open)
-            here.calls.where = here.where
+            await here.settled(lambda: not here.calls.rate_limiter.is_open)
+            here.calls.address = here.where
             here.ask(map(str, range(20, 40)), 30)
             await here.base.until(lambda: here.base.heard)
             began = time.time()
             await anyio.sleep(0.3)
-            self.assertLessEqual(len(here.base.heard), 2 + here.calls.pace.cap * (time.time() - began))
-            self.assertGreater(len(here.calls.waits), 10)
+            self.assertLessEqual(
+                len(here.base.heard), 2 + here.calls.rate_limiter.rate_cap * (time.time() - began)
+            )
+            self.assertGreater(len(here.calls.backlog), 10)
 
     async def test_what_is_said_already_is_not_said_again(self) -> None:
         """That the processor is up once led to a report out of turn: of all at one moment, when a zone is
@@ -683,20 +727,25 @@
             await here.roster.until(lambda: here.roster.reports)
             await (router := await here.router()).answer(await router.ask("look"))
             self.assertLessEqual(
-                len(here.roster.reports), 1 + (time.time() - began) / (heartbeat.FIRST * SPAN)
+                len(here.roster.reports),
+                1 + (time.time() - began) / (heartbeat.FIRST_GAP_INTERVALS * INTERVAL_SECONDS),
             )
-            with mock.patch.multiple(endpoint_registry, PERIOD=60.0, TIMEOUT=60.0):
-                alone = endpoint_registry.Roster(start_file.Address("127.0.0.1", here.roster.port), "other")
+            with mock.patch.multiple(
+                endpoint_registry, REPORT_PERIOD_SECONDS=60.0, REPORT_TIMEOUT_SECONDS=60.0
+            ):
+                alone = endpoint_registry.EndpointRegistryClient(
+                    start_file.Address("127.0.0.1", here.roster.port), "other"
+                )
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(alone.run)
                 await here.roster.until(lambda: ("/ns/hosts/other", "yes") in here.roster.reports)
                 for fit in (True, False, False):
-                    alone.tell(messages.Report(fit))
+                    alone.send(messages.HealthChanged(fit))
                 await here.roster.until(lambda: ("/ns/hosts/other", "no") in here.roster.reports)
                 said = [fit for path, fit in here.roster.reports if path.endswith("other")]
                 self.assertEqual(said, ["yes", "no"])
                 tasks.cancel_scope.cancel()
-            for mailbox in (alone.outbox, alone.unsent):
+            for mailbox in (alone.outbox, alone.outbox_reader):
                 mailbox.close()
 
     async def test_peers_that_come_up_late(self) -> None:
@@ -704,11 +753,11 @@
         tried again, and up soon after it is there."""
         slow = Processor()
         slow.up = anyio.Event()
-        with mock.patch.multiple(endpoint_registry, PERIOD=0.05, TIMEOUT=0.05):
+        with mock.patch.multiple(endpoint_registry, REPORT_PERIOD_SECONDS=0.05, REPORT_TIMEOUT_SECONDS=0.05):
             async with place(slow, roster=Roster(503)) as here:
-                await here.roster.until(lambda: logs.counts["reports_failed"] > 5 or None)
+                await here.roster.until(lambda: logs.counters["reports_failed"] > 5 or None)
                 here.roster.status = 204
-                await here.roster.until(lambda: logs.counts["reports"] > 2 or None)
+                await here.roster.until(lambda: logs.counters["reports_accepted"] > 2 or None)
                 await slow.until(lambda: slow.heard)
                 self.assertEqual([said["event"] for said in slow.heard], ["hello"])
                 slow.up.set()
--- a/tests/test_start_file.py
+++ b/tests/test_start_file.py
@@ -23,7 +23,7 @@
 from tests.app_server import Server, actions, place, settings, told, until
 from thymeyoke.__main__ import main
 from thymeyoke.configuration import start_file
-from thymeyoke.runtime.logs import counts
+from thymeyoke.runtime.logs import counters
 
 ABSENT = object()
 
@@ -70,37 +70,52 @@
 
     def test_what_is_not_told_is_no_other_sites_figure(self) -> None:
         cases: list[tuple[str, Any, Callable[[dict[str, Any]], Any], Any]] = [
-            ("settings.tenants", None, lambda given: given["tenants"], ()),
-            ("settings.caps", ABSENT, lambda given: given["callers"].max_wait, 0.0),
-            ("settings.family_info.idle_us", ABSENT, lambda given: given["callers"].idle, 3600.0),
-            ("settings.contract.cold_share", ABSENT, lambda given: given["survival"].cold_share, 0.0),
-            ("settings.request_classes.1.memory_span_us", ABSENT, lambda given: given["op_types"][1][7], 3.0),
-            ("settings.request_classes.0.memory_span_us", None, lambda given: given["op_types"][0][7], 0.0),
+            ("settings.tenants", None, lambda given: given.tenants, ()),
+            ("settings.caps", ABSENT, lambda given: given.clients.max_retry_after, 0.0),
+            ("settings.family_info.idle_us", ABSENT, lambda given: given.clients.idle_timeout, 3600.0),
+            ("settings.contract.cold_share", ABSENT, lambda given: given.overload.cold_speed_share, 0.0),
+            (
+                "settings.request_classes.1.memory_span_us",
+                ABSENT,
+                lambda given: given.request_classes[1].idempotency_window,
+                3.0,
+            ),
+            (
+                "settings.request_classes.0.memory_span_us",
+                None,
+                lambda given: given.request_classes[0].idempotency_window,
+                0.0,
+            ),
             (
                 "settings.family_info.fair_calls",
                 0,
-                lambda given: given["dependency"].kind,
-                settings.Below.TIER,
+                lambda given: given.dependency.kind,
+                settings.DependencyKind.TIER,
             ),
-            ("settings.new_key", {"a": 1}, lambda given: given["seed"], 7),
+            ("settings.new_key", {"a": 1}, lambda given: given.seed, 7),
         ]
         for field, value, read, expected in cases:
             with self.subTest(field):
-                self.assertEqual(read(start_file.start(7, changed(field, value)["settings"])), expected)
+                self.assertEqual(
+                    read(start_file.read_admission_settings(7, changed(field, value)["settings"])), expected
+                )
         for field in ("limits", "limits.sockets"):
             limit = mock.Mock(return_value=(300, 400))
             with self.subTest(field), mock.patch("resource.getrlimit", limit):
-                self.assertEqual(start_file.station(changed(field, None)).descriptors, 300)
-        memory = [start_file.station(changed("limits.memory_mb", told)).memory for told in (64, None)]
+                self.assertEqual(start_file.read_server_settings(changed(field, None)).max_descriptors, 300)
+        memory = [
+            start_file.read_server_settings(changed("limits.memory_mb", told)).memory_limit
+            for told in (64, None)
+        ]
         self.assertEqual(memory, [64 << 20, math.inf])
         none_below = changed("settings.family_info.below", "silent") | {"db": None}
-        self.assertIsNone(start_file.station(none_below).database)
+        self.assertIsNone(start_file.read_server_settings(none_below).dependency)
 
     def test_without_tick_and_slack_the_beat_does_not_spin(self) -> None:
         """Once the first beat divided by zero, and each was due at the moment of the one before."""
-        server = Server(duty={"answer_slack": 0.0}, machine={"tick": 0.0})
+        server = Server(terms={"answer_slack": 0.0}, machine={"tick": 0.0})
         server.settle()
-        self.assertGreaterEqual(min(did.span for did in server.beat() if type(did) is actions.Wake), 0.01)
+        self.assertGreaterEqual(min(did.span for did in server.beat() if type(did) is actions.SetTimer), 0.01)
 
 
 class Reloads(unittest.IsolatedAsyncioTestCase):
@@ -108,17 +123,19 @@
         """Once every error but `BadStart` ended the server, and a port out of range reached its actors."""
         async with place(Processor(calls=0)) as here:
             router, given = await here.router(), here.start
-            bad = start_file.BadStart("half written")
+            bad = start_file.StartFileError("half written")
             for new in (bad, given | {"processor": "127.0.0.1:65536"}, given | {"db": ""}, OverflowError()):
-                before, read = counts["start_file_bad"], start_file.station
-                with mock.patch.object(start_file, "station", side_effect=OverflowError) as broken:
+                before, read = counters["start_file_errors"], start_file.read_server_settings
+                with mock.patch.object(
+                    start_file, "read_server_settings", side_effect=OverflowError
+                ) as broken:
                     here.start = new
                     if not isinstance(new, OverflowError):
                         broken.side_effect = read
                     os.kill(os.getpid(), signal.SIGHUP)
-                    await until(lambda before=before: counts["start_file_bad"] == before + 1)
+                    await until(lambda before=before: counters["start_file_errors"] == before + 1)
                 self.assertIsNone((await router.answer(await router.ask("look")))[0])
-            self.assertEqual((len(here.processor.streams), counts["actor_error"]), (1, 0))
+            self.assertEqual((len(here.processor.streams), counters["actor_errors"]), (1, 0))
 
     async def test_an_address_that_is_back_before_it_took_effect(self) -> None:
         """The list's client hears of a new address when its report is over. Once two reloads within that, to
@@ -151,7 +168,7 @@
             with subprocess.Popen(command, stderr=subprocess.PIPE, text=True) as process:
                 try:
                     assert process.stderr is not None
-                    self.assertIn("address in use", process.stderr.readline())
+                    self.assertIn("address_in_use", process.stderr.readline())
                     yield process, before
                 finally:
                     process.kill()
@@ -160,7 +177,7 @@
         with self.waiting(60_000) as (process, before):
             before.close()
             assert process.stderr is not None
-            self.assertIn("what=listening", process.stderr.readline())
+            self.assertIn("event=listening", process.stderr.readline())
 
     def test_a_notice_meanwhile_ends_it_at_once(self) -> None:
         with self.waiting(60_000) as (process, _):
@@ -168,7 +185,7 @@
             process.send_signal(signal.SIGTERM)
             lines = process.communicate(timeout=60)[1]
             self.assertEqual((process.returncode, lines.count("\n")), (0, 1), lines)
-            self.assertIn("what=left", lines)
+            self.assertIn("event=stopped", lines)
 
     def test_past_the_stop_of_who_was_there_it_is_one_error(self) -> None:
         with self.waiting(100) as (process, _):
--- a/thymeyoke/admission/__init__.py
+++ b/thymeyoke/admission/__init__.py
@@ -1,9 +1,6 @@
-"""The interface that every protocol speaks to the decisions: plain facts in, plain actions out.
+"""Admission control of one app server: which requests it admits, runs, delays and rejects.
 
-`facts` holds what a server is told (at its start and while it runs), `actions` what it may do.
-Times are seconds, spans and moments alike; sizes are kilobytes; ids are whatever the protocol uses.
+The package is pure: no I/O, no clock, no tasks. `events` is what happens, `actions` what to do about it, and
+`AdmissionController` (in `controller`) decides. Times and spans are seconds, sizes are kilobytes, and ids are
+whatever the protocol uses.
 """
-
-from thymeyoke.admission import actions, settings
-
-__all__ = ["actions", "settings"]
--- a/thymeyoke/admission/actions.py
+++ b/thymeyoke/admission/actions.py
@@ -1,4 +1,4 @@
-"""What a server may do. An action that concerns an op names it by its id."""
+"""What an `AdmissionController` asks its host to do. An action on a request names it by its id."""
 
 from __future__ import annotations
 
@@ -6,81 +6,96 @@
 
 
 class Run(NamedTuple):
-    """Start a held op, or take up a paused one."""
+    """Start a queued request, or resume a paused one."""
 
     id: Any
 
 
-class Nack(NamedTuple):
-    """Final: turned away, never ran."""
+class Reject(NamedTuple):
+    """Final answer: the request was rejected and never ran."""
 
     id: Any
-    nowhere_else: bool
-    wait: float  # how long to stay away; 0 for no word on it
+    is_terminal: bool  # another server would reject it as well
+    retry_after: float  # seconds; 0 for no advice
 
 
 class Fail(NamedTuple):
-    """Final: an error that promises nothing."""
+    """Final answer: an error that promises nothing."""
 
     id: Any
 
 
-class Pause(NamedTuple):
+class Stop(NamedTuple):
+    """Stop a run."""
+
     id: Any
 
 
-class Reuse(NamedTuple):
-    """Answer a repeat with the answer of the op that it repeats."""
+class ReuseResult(NamedTuple):
+    """Answer a retry with the result of the request that it repeats."""
 
     id: Any
 
 
-class Call(NamedTuple):
-    """Make the call that an op stands at; give it up at a moment of the clock."""
+class CallDependency(NamedTuple):
+    """Make the dependency call that a request waits for; abandon it at `deadline`, a moment of the clock."""
 
     id: Any
-    until: float
+    deadline: float
 
 
-class GoOn(NamedTuple):
-    """Go on without the call: a poorer answer."""
+class ContinueDegraded(NamedTuple):
+    """Continue a run without its dependency call; its answer is degraded."""
 
     id: Any
 
 
-class Keep(NamedTuple):
-    """Remember an op's key for a span."""
+class RetainKey(NamedTuple):
+    """Retain a request's idempotency key, or renew it, for `span` seconds."""
 
     id: Any
     span: float
 
 
-class Forget(NamedTuple):
+class ReleaseKey(NamedTuple):
+    """Drop a retained idempotency key."""
+
     id: Any
 
 
-class Say(NamedTuple):
+class PublishSignal(NamedTuple):
+    """Send this backpressure value with every answer from now on."""
+
     value: float
 
 
-class Health(NamedTuple):
+class ReportHealth(NamedTuple):
+    """Answer health checks with this from now on."""
+
     from_store: bool
-    fit: bool
+    is_healthy: bool
 
 
-class Trim(NamedTuple):
-    """Close connections unused for this long."""
+class SetIdleTimeout(NamedTuple):
+    """Close connections that were unused for `span` seconds."""
 
     span: float
 
 
-class Wake(NamedTuple):
+class SetTimer(NamedTuple):
+    """Report `timer_expired` with this mark after `span` seconds."""
+
     mark: int
     span: float
 
 
-class Note(NamedTuple):
+class LogNote(NamedTuple):
+    """Log a line."""
+
     text: str
 
 
-Action = Run | Nack | Fail | Pause | Reuse | Call | GoOn | Keep | Forget | Say | Health | Trim | Wake | Note
+Action = (
+    Run | Reject | Fail | Stop | ReuseResult | CallDependency | ContinueDegraded | RetainKey | ReleaseKey
+    | PublishSignal | ReportHealth | SetIdleTimeout | SetTimer | LogNote
+)  # fmt: skip
--- a/thymeyoke/admission/settings.py
+++ b/thymeyoke/admission/settings.py
@@ -1,129 +1,129 @@
-"""What a server is told: its trade and surroundings at the start, then ops and outcomes."""
+"""What an app server is told at its start: its request classes, its machine and its surroundings."""
 
 from __future__ import annotations
 
 from enum import Enum
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 
-class Repeat(Enum):
-    """Whether an op type may run again."""
+class Idempotency(Enum):
+    """Whether a request of a class may run more than once."""
 
-    RETRYABLE = "retryable"
-    KEYED = "keyed"  # a repeat is known by its key and must not run within the key's window
-    NON_RETRYABLE = "non-retryable"
+    IDEMPOTENT = "retryable"
+    WITH_KEY = "keyed"  # a retry carries the same idempotency key and must not run within the key's window
+    NOT_IDEMPOTENT = "non-retryable"
 
 
-class Below(Enum):
-    """What calls reach."""
+class DependencyKind(Enum):
+    """What dependency calls reach."""
 
-    SHARED = "shared"
-    TIER = "tier"
-    NOTHING = "nothing"
+    SHARED = "shared"  # one instance for all app servers
+    TIER = "tier"  # a fleet of its own, which sheds load by itself
+    NONE = "nothing"
 
 
-class Signal(Enum):
-    """How callers read the value that rides on answers."""
+class SignalKind(Enum):
+    """How clients read the backpressure value that rides on answers."""
 
-    FLOOR = "floor"
-    ALLOWANCE = "allowance"
-    WEIGHT = "weight"
-    NOTHING = "nothing"
+    FLOOR = "floor"  # the least priority that is still welcome
+    ALLOWANCE = "allowance"  # requests that one client may have open
+    WEIGHT = "weight"  # this server's weight in the clients' load balancing
+    NONE = "nothing"
 
 
-class Halt(Enum):
+class StopEffect(Enum):
     """What stopping a run does to it."""
 
     PAUSE = "pause"  # it keeps its progress and its memory
-    DROP = "drop"  # it goes back to the hold, its work lost
-    NOTHING = "nothing"
+    DISCARD = "drop"  # it goes back to the queue and its work is lost
+    NONE = "nothing"  # a run cannot be stopped
 
 
-class Outcome(Enum):
-    """How a run or a call ended."""
+class RequestClass(NamedTuple):
+    """One class of requests."""
 
-    OK = "ok"
-    ERROR = "error"
-    FULL = "full"
-    TIMEOUT = "timeout"
-    UNREACHED = "unreached"
-    CUT = "cut"
-    STOPPED = "stopped"
-    MOOT = "moot"
+    latency_objective: float  # from the client's first attempt; full value up to here
+    client_timeout: float  # the client waits no longer
+    idempotency: Idempotency
+    priority_weight: float
+    late_value_share: float  # of the priority weight: what an answer after the objective still earns
+    degraded_value_share: float  # of the priority weight: what an answer without its dependency call earns
+    calls_dependency: bool
+    idempotency_window: float  # with a key: how long after its arrival a retry may come
+    objective_stretch: float  # the objective grows by this multiple of the request's own work
 
 
-NEVER_RAN = frozenset((Outcome.FULL, Outcome.UNREACHED, Outcome.MOOT))  # outcomes that prove it
+class Machine(NamedTuple):
+    """The machine that runs requests."""
 
+    cores: float
+    memory: float  # kilobytes
+    running_memory_factor: float  # a running request takes this many times the memory of a queued one
+    retained_key_size: float  # kilobytes
+    tick: float  # the shortest span between two batches of events
+    stop_effect: StopEffect
+    gauges: tuple[str, ...]  # names of the gauges that come with a timer, in their order
 
-class OpType(NamedTuple):
-    target: float  # full importance up to here, from the client's first try
-    timeout: float  # the client waits no longer
-    repeat: Repeat
-    importance: float
-    late_share: float  # part of the importance that an answer after the target still earns
-    poorer_share: float  # part of it that an answer without its call earns
-    calls: bool
-    key_window: float  # keyed: how long after its arrival a repeat may come
-    stretch: float  # the target grows by this multiple of the op's own work
 
+class OverloadLimits(NamedTuple):
+    """The concurrency that the machine survives."""
 
-class Machine(NamedTuple):
-    cores: int
-    memory: float
-    run_factor: float  # a running op takes this many times the memory of a held one
-    key_size: float
-    tick: float  # the shortest time between two batches of events
-    halt: Halt
-    gauges: tuple[str, ...]
+    max_concurrency: float  # running requests a core, of a server that is warm
+    averaging_span: float  # the mean is taken over this span
+    starts_cold: bool
+    cold_speed_share: float  # of the full speed: the least that a cold server starts with
+    warm_up_timeout: float  # the server is warm after this at the latest
+
+
+class ServiceTerms(NamedTuple):
+    """What an app server owes to its clients."""
 
+    answer_slack: float  # an answer may be late by this much
+    drain_grace: float  # requests that arrive this long after the shutdown notice are still admitted
 
-class Survival(NamedTuple):
-    crowd: float  # ops a core on the cores that a warm server survives
-    crowd_span: float  # the mean is taken over this span
-    cold: bool
-    cold_share: float  # the least part of its speed that a cold server starts with
-    cold_span: float  # it is warm after this at the latest
 
+class DependencySettings(NamedTuple):
+    """The dependency that requests call."""
 
-class Duty(NamedTuple):
-    answer_slack: float
-    drain_grace: float
+    kind: DependencyKind
+    fair_concurrency: float  # this server's part of the calls that the dependency survives, on average
+    averaging_span: float
+    abandoned_call_span: float  # an abandoned call occupies the dependency for up to this
 
 
-class Dependency(NamedTuple):
-    kind: Below
-    fair_calls: float  # this server's part of the calls that the dependency survives, on average
-    fair_span: float
-    linger: float  # an abandoned call stays in the dependency's hands for up to this
+class ClientSettings(NamedTuple):
+    """The clients, which are routers or other services."""
 
+    client_count: float
+    signal: SignalKind
+    signal_lifetime: float  # a client applies a backpressure value for this long
+    max_retry_after: float  # the longest Retry-After that clients follow; 0 where none is passed on
+    marks_retries: bool
+    idle_timeout: float  # clients close connections that were unused for this long
+    result_freshness: float  # the result of a read may answer its repeats for this long
+    list_follows_health: bool  # the endpoint list drops servers that report themselves unhealthy
 
-class Callers(NamedTuple):
-    count: int
-    signal: Signal
-    heeded: float  # a caller keeps the signal's value in mind this long
-    max_wait: float  # the longest wait on a nack that callers follow; 0 where none is passed on
-    marks_further: bool
-    idle: float  # callers close connections unused for this long
-    fresh: float  # an answer to a read may serve its repeats for this long
-    list_follows: bool
 
+class TenantSettings(NamedTuple):
+    """One tenant."""
 
-class Tenant(NamedTuple):
     share: float
-    quota: float  # ops a second, over the whole fleet
-
-
-class Op(NamedTuple):
-    id: int
-    type: int
-    tenant: int
-    size: float
-    subject: str | None
-    hint: float  # expected work in seconds of a standard core; 0 where not told
-    further: bool  # marked as a further try
-    write: bool
-    repeats: Any  # id of the op that this one repeats, or None
-    prio: float
-    left: float  # until the caller gives up this try; 0 where not told
-    caller: int
-    unread: float  # since it reached the machine
+    quota: float  # requests a second, over the whole fleet
+
+
+class AdmissionSettings(NamedTuple):
+    """All that an `AdmissionController` is made with."""
+
+    seed: int
+    request_classes: tuple[RequestClass, ...]
+    machine: Machine
+    overload: OverloadLimits
+    terms: ServiceTerms
+    dependency: DependencySettings
+    clients: ClientSettings
+    tenants: tuple[TenantSettings, ...]  # empty where requests name no tenant
+
+    @property
+    def longest_client_timeout(self) -> float:
+        """The longest client timeout of all request classes."""
+        return max(request_class.client_timeout for request_class in self.request_classes)
--- a/thymeyoke/affinity/controller.py
+++ b/thymeyoke/affinity/controller.py
@@ -274,7 +274,7 @@
         self._hold(customer, Entry(born, one.name, one.life, now + SPAN * self.linger), "")
         self.counts["kept"] += 1
         if self.notes is not None:
-            self._note("seat kept", customer=customer, server=server, stamp=born,
+            self._note("binding_created", customer=customer, server=server, stamp=born,
                        taking=self.taking.names, coming=self.coming.names, dead=self.dead.names)  # fmt: skip
 
     def _renew(self, now: float, customer: int, entry: Entry) -> None:
@@ -314,7 +314,7 @@
     def _drop(self, customer: int) -> None:
         entry = self.kept.pop(customer)
         if self.notes is not None:
-            self._note("seat dropped", customer=customer, server=entry.server, stamp=entry.born)
+            self._note("binding_dropped", customer=customer, server=entry.server, stamp=entry.born)
         self.origin.pop(customer, None)
         self.beside.discard(customer)
         self.log.drop(customer)
@@ -402,8 +402,15 @@
         if one.stage == before:
             return
         one.moved_at, one.agreeing = now, False
-        self._note("stage", server=one.name, life=one.life, was=before.name, now=one.stage.name,
-                   fact=what.value, served=round(now - one.start, 3))  # fmt: skip
+        self._note(
+            "server_state_changed",
+            server=one.name,
+            life=one.life,
+            was=before.name,
+            now=one.stage.name,
+            fact=what.value,
+            served=round(now - one.start, 3),
+        )
         if one.stage not in LIVE:
             one.told_until = -inf
             if not one.back:
@@ -430,7 +437,7 @@
             if peer is None:
                 peer, self.newest_at = Peer(life), now
                 self.peers[name] = peer
-                self._note("node there", name=name, life=life)
+                self._note("peer_added", name=name, life=life)
             elif life > peer.life:
                 self._adopt({name})
                 peer = self.peers[name] = Peer(life)
@@ -438,7 +445,7 @@
         if gone:
             self._adopt(gone)
             for name in gone:
-                self._note("node gone", name=name)
+                self._note("peer_removed", name=name)
                 del self.peers[name]
 
     def _adopt(self, names: set[str]) -> None:
@@ -502,7 +509,7 @@
                 else:
                     continue
                 one.moved_at, moved = now, True
-                self._note("stage", server=one.name, now=one.stage.name, agreeing=one.agreeing)
+                self._note("server_state_changed", server=one.name, now=one.stage.name, agreeing=one.agreeing)
             if moved:
                 self._relist(now)
 
@@ -534,7 +541,7 @@
                 if now < one.moved_at + self.margin:
                     return False
                 self.counts["agreed_without"] += 1
-                self._note("agreed without", server=one.name, ripe=ripe)
+                self._note("agreement_timed_out", server=one.name, ripe=ripe)
         return True
 
     # What other nodes say.
@@ -667,8 +674,15 @@
             if (before.server if before else self.taking.first(customer)) != best.server:
                 self.counts["reseated"] += 1  # seated twice: the later stamp wins
         if self.notes is not None:
-            self._note("seat heard", customer=customer, server=best.server, stamp=best.born, sender=sender,
-                       was=mine.server if mine else "", known=best is not new)  # fmt: skip
+            self._note(
+                "binding_received",
+                customer=customer,
+                server=best.server,
+                stamp=best.born,
+                sender=sender,
+                was=mine.server if mine else "",
+                known=best is not new,
+            )
         self._hold(customer, best, sender)
 
     def _park(self, now: float, sender: str, told: Told) -> None:
--- a/thymeyoke/affinity/wire.py
+++ b/thymeyoke/affinity/wire.py
@@ -105,7 +105,8 @@
     for number, born, place, left in read.items:
         if not 0 <= place < len(read.servers):
             raise BadWord("a server that is not listed")
-        items.append(Told(number, born, *read.servers[place], left / 1000))
+        server, life = read.servers[place]
+        items.append(Told(number, born, server, life, left / 1000))
     return Piece(
         read.life, read.behind, read.to, read.head, read.stamp, tuple(items),
         Marks(_cut(read.late), _cut(read.ripe), _cut(read.takes)), read.leaving)  # fmt: skip
--- a/thymeyoke/bgp/advertiser.py
+++ b/thymeyoke/bgp/advertiser.py
@@ -25,18 +25,23 @@
 from thymeyoke.bgp.presentation import Shown
 from thymeyoke.bgp.session import State
 from thymeyoke.bgp.wire import Code, Notification
-from thymeyoke.configuration.service_config import Ip
+from thymeyoke.configuration.service_config import IpAddress
 from thymeyoke.runtime import logs, status_socket
 from thymeyoke.runtime.clock import clock
-from thymeyoke.runtime.extensions import Around
+from thymeyoke.runtime.extensions import (
+    ConfigurationChanged,
+    DrainStarted,
+    ExtensionContext,
+    ServerStatus,
+    StatusQuery,
+)
 from thymeyoke.runtime.mailbox import take_all
-from thymeyoke.server.messages import Draining, Event, Probe, Reformed, Standing
 
 LOOK = 0.25  # seconds between looks at the server
 LETTERS = 32
 DECONFIGURED, CHANGED = Notification(Code.CEASE, 3), Notification(Code.CEASE, 6)
 
-Letter = Standing | Draining | Reformed
+Letter = ServerStatus | DrainStarted | ConfigurationChanged
 
 
 def terms(told: Announce) -> Terms:
@@ -47,13 +52,13 @@
     return (told.id.packed, *(hop.packed for hop in told.next_hop))
 
 
-class Announcer:
+class Advertiser:
     """Stands behind the desk while the operators' file has `[announce]`."""
 
     name = "announce"
-    hears_ops, stays = False, True
+    observes_requests, extends_drain = False, True
 
-    def __init__(self, told: Announce, seed: int, desk: MemoryObjectSendStream[Event]) -> None:
+    def __init__(self, told: Announce, seed: int, desk: MemoryObjectSendStream[StatusQuery]) -> None:
         self.told, self.rng, self.desk = told, Random(seed), desk
         now = clock()
         self.decider = Decider(now, terms(told), told.addresses)
@@ -68,11 +73,11 @@
 
     # The seam.
 
-    def tell(self, what: Letter) -> None:
+    def notify(self, what: Letter) -> None:
         try:
             self.outbox.send_nowait(what)
         except anyio.WouldBlock:
-            logs.counts["announce_letters_full"] += 1
+            logs.counters["announce_letters_full"] += 1
         except (anyio.BrokenResourceError, anyio.ClosedResourceError):
             pass
 
@@ -83,17 +88,17 @@
             self.decider.caps = dict(caps)
             self.poked.set()
 
-    def in_full(self, ip: Ip) -> bool:
+    def in_full(self, ip: IpAddress) -> bool:
         """Whether all addresses that hold this one are announced in full, by the last look."""
         found = [one.level for prefix, one in self.decider.addresses.items() if ip in prefix]
         return all(level == Level.FULL for level in found)
 
     async def run(self) -> None:
-        control_at = status_socket.path(self.told.control, self.name)
+        control_at = status_socket.socket_path(self.told.control, self.name)
         try:
             async with anyio.create_task_group() as self.tasks:
                 self.tasks.start_soon(
-                    status_socket.serve, control_at, self.name, lambda: self.status(clock())
+                    status_socket.serve_status, control_at, self.name, lambda: self.status(clock())
                 )
                 self._meet()
                 await self._go()
@@ -149,20 +154,20 @@
 
     def _ask(self, now: float) -> None:
         if not self.standing and self.decider.last:
-            logs.counts["announce_late_looks"] += 1
+            logs.counters["announce_late_looks"] += 1
             self.decider.look(now, self.decider.last._replace(late=True))
         self.standing = False
         with suppress(anyio.WouldBlock, anyio.BrokenResourceError, anyio.ClosedResourceError):
-            self.desk.send_nowait(Probe(self))
+            self.desk.send_nowait(StatusQuery(self))
 
     def _hear(self, now: float, letter: Letter) -> None:
         match letter:
-            case Standing():
+            case ServerStatus():
                 self.standing = True
                 self.decider.look(now, Look(*letter))
-            case Draining(door_at):
+            case DrainStarted(door_at):
                 self.decider.leave(now, door_at)
-            case Reformed(section):
+            case ConfigurationChanged(section):
                 self._reform(now, section)
 
     def _settle(self, now: float) -> None:
@@ -173,8 +178,14 @@
             return
         for prefix in moved:
             one = self.decider.addresses[prefix]
-            logs.counts["announce_changes"] += 1
-            logs.say(logging.INFO, "announced", address=prefix, as_=one.level.name.lower(), why=one.why)
+            logs.counters["announce_changes"] += 1
+            logs.log_event(
+                logging.INFO,
+                "address_level_changed",
+                address=prefix,
+                as_=one.level.name.lower(),
+                reason=one.why,
+            )
             self.history.append((now, str(prefix), one.level.name.lower(), one.why))
         del self.history[:-16]
         self._tell(now, any(self.decider.addresses[prefix].level == Level.WITHDRAWN for prefix in moved))
@@ -234,8 +245,8 @@
         try:
             await speaker.run()
         except Exception as error:
-            logs.counts["announce_error"] += 1
-            logs.say(logging.ERROR, "bgp speaker ends", error, peer=speaker.peer.name)
+            logs.counters["announce_error"] += 1
+            logs.log_event(logging.ERROR, "bgp_peer_failed", error, peer=speaker.peer.name)
         finally:
             speaker.done = True
 
@@ -245,19 +256,19 @@
             try:
                 sock = tcp.listen(self.told.listen, self.told.peers)
             except OSError as error:
-                logs.counts["announce_error"] += 1
-                return logs.say(logging.ERROR, "bgp listener refused", error, address=self.told.listen)
+                logs.counters["announce_error"] += 1
+                return logs.log_event(logging.ERROR, "bgp_listen_failed", error, address=self.told.listen)
             listener = await anyio.abc.SocketListener.from_socket(sock)
             async with listener:
                 while True:
                     try:
                         stream = await listener.accept()
                     except OSError:
-                        logs.counts["announce_accept_failed"] += 1
+                        logs.counters["announce_accept_failed"] += 1
                         await anyio.sleep(LOOK)
                         continue
                     if not self._accepted(stream):
-                        logs.counts["announce_strangers"] += 1
+                        logs.counters["announce_strangers"] += 1
                         await anyio.aclose_forcefully(stream)
 
     def _accepted(self, stream: SocketStream) -> bool:
@@ -301,10 +312,10 @@
         }  # fmt: skip
 
 
-def probe(told: Announce) -> None:
+def check_host(told: Announce) -> None:
     """Whether this machine can carry the section out; `behind.Refused` else."""
     tcp.probe(told)
 
 
-def build(told: Announce, around: Around) -> Announcer:
-    return Announcer(told, around.seed, around.desk)
+def create_extension(told: Announce, around: ExtensionContext) -> Advertiser:
+    return Advertiser(told, around.seed, around.dispatcher)
--- a/thymeyoke/bgp/commands.py
+++ b/thymeyoke/bgp/commands.py
@@ -10,21 +10,24 @@
 import click
 import orjson
 
+from thymeyoke.configuration.options import service_config_option
 from thymeyoke.runtime import status_socket
 
 
-def _found(control_at: Path | None, orders: Path | None) -> dict[str, Any]:
-    if control_at is None and orders is not None:
-        from thymeyoke.configuration.service_config import BadOrders, read
+def _found(control_at: Path | None, service_config: Path | None) -> dict[str, Any]:
+    if control_at is None and service_config is not None:
+        from thymeyoke.configuration.service_config import ServiceConfigError, read_service_config
 
         try:
-            section = read(orders).get("announce")
-        except BadOrders as error:
+            section = read_service_config(service_config).get("announce")
+        except ServiceConfigError as error:
             raise click.UsageError(str(error)) from None
         control_at = section and section.control and Path(section.control)
     try:
-        return status_socket.ask(control_at or status_socket.path(None, "announce"), "server with [announce]")
-    except status_socket.Unanswered as error:
+        return status_socket.query_status(
+            control_at or status_socket.socket_path(None, "announce"), "server with [announce]"
+        )
+    except status_socket.StatusUnavailableError as error:
         raise click.ClickException(str(error)) from None
 
 
@@ -54,21 +57,20 @@
     "--control", "control_at", type=click.Path(path_type=Path),
     help="The server's socket; else [announce] control of the operators' file, else the usual place.",
 )  # fmt: skip
-orders_option = click.option("--orders", envvar="THYMEYOKE_ORDERS", type=click.Path(path_type=Path))
 json_option = click.option("--json", "as_json", is_flag=True, help="All of it, as JSON.")
 
 
 @group.command()
 @control_option
-@orders_option
+@service_config_option()
 @json_option
-def show(control_at: Path | None, orders: Path | None, as_json: bool) -> None:
+def show(control_at: Path | None, service_config: Path | None, as_json: bool) -> None:
     """Peers and addresses of the running server.
 
     \b
     Example: python -m thymeyoke announce show --json
     """
-    told = _found(control_at, orders)
+    told = _found(control_at, service_config)
     if as_json:
         return click.echo(orjson.dumps(told, option=orjson.OPT_INDENT_2).decode())
     rows = [["PEER", "ADDRESS", "AS", "STATE", "FOR", "HOLD", "HELD", "FLAPS", "LAST ERROR"]]
@@ -92,9 +94,9 @@
 @group.command()
 @click.argument("address")
 @control_option
-@orders_option
+@service_config_option()
 @json_option
-def why(address: str, control_at: Path | None, orders: Path | None, as_json: bool) -> None:
+def why(address: str, control_at: Path | None, service_config: Path | None, as_json: bool) -> None:
     """Why ADDRESS is announced as it is, or not.
 
     \b
@@ -106,7 +108,7 @@
         raise click.UsageError(
             f"{address!r} is no address; give one as 198.51.100.7 or 2001:db8::7/128"
         ) from None
-    told = _found(control_at, orders)
+    told = _found(control_at, service_config)
     found = [one for one in told["addresses"] if _is(ip_network(one["address"]), wanted)]
     if not found:
         there = ", ".join(one["address"] for one in told["addresses"])
--- a/thymeyoke/bgp/configuration.py
+++ b/thymeyoke/bgp/configuration.py
@@ -8,14 +8,14 @@
 
 from msgspec import Meta, Struct
 
-from thymeyoke.configuration.service_config import PORT, HostPort, Ip, Raw
+from thymeyoke.configuration.service_config import HOST_PORT_DESCRIPTION, ConfigFile, HostPort, IpAddress
 
 Prefix = IPv4Network | IPv6Network
 LESS = ("graceful_shutdown", "med", "prepend")
 
 
 if TYPE_CHECKING:
-    AnyIp = Ip
+    AnyIp = IpAddress
     AnyPrefix = Prefix
 else:
 
@@ -42,7 +42,7 @@
     """A router that is spoken to. Times in seconds."""
 
     name: str
-    address: Annotated[HostPort, Meta(description=PORT)]
+    address: Annotated[HostPort, Meta(description=HOST_PORT_DESCRIPTION)]
     as_: As
     hold: Annotated[int, Meta(ge=3, le=65535, description="whole seconds from 3 to 65535")] = 3
     source: Annotated[AnyIp | None, Meta(description="an IP address of this machine")] = None
@@ -83,21 +83,21 @@
         return [f"announces {addresses} as AS {self.as_}, {self.id}", f"to {peers}"]
 
 
-def gather(raw: Raw) -> Announce:
-    under = [name for name in raw.sections if name.startswith("announce.")]
+def read_settings(file: ConfigFile) -> Announce:
+    under = [name for name in file.sections if name.startswith("announce.")]
     peers = []
     for section in under:
         kind, _, name = section.removeprefix("announce.").partition(" ")
         if kind != "peer" or not name:
-            raise raw.bad(section, None, "no such section; give [announce.peer NAME]")
-        peers.append(raw.take(section, Peer, name=name))
-    made = raw.take("announce", Announce, peers=tuple(peers))
+            raise file.error(section, None, "no such section; give [announce.peer NAME]")
+        peers.append(file.read_section(section, Peer, name=name))
+    made = file.read_section("announce", Announce, peers=tuple(peers))
 
     def bad(option: str, what: str, section: str = "announce") -> Exception:
-        return raw.bad(section, option, what)
+        return file.error(section, option, what)
 
     if not peers:
-        raise raw.bad("announce", None, "has no peer; add a section [announce.peer NAME]")
+        raise file.error("announce", None, "has no peer; add a section [announce.peer NAME]")
     if made.id == IPv4Address(0):
         raise bad("id", "'0.0.0.0' can't be used; give an IPv4 address other than 0.0.0.0")
     if wrong := set(made.less) - set(LESS):
@@ -111,7 +111,7 @@
     if len(set(made.addresses)) < len(made.addresses):
         raise bad("addresses", "holds one address twice; keep one")
     where: dict[HostPort, str] = {}
-    waits: dict[Ip, str] = {}
+    waits: dict[IpAddress, str] = {}
     for peer in made.peers:
         section = f"announce.peer {peer.name}"
         if (first := where.setdefault(peer.address, peer.name)) != peer.name:
--- a/thymeyoke/bgp/controller.py
+++ b/thymeyoke/bgp/controller.py
@@ -213,7 +213,7 @@
         one.changes += 1
 
     def _times_away(self, now: float) -> float:
-        return self.away * 0.5 ** (max(0.0, now - self.away_at) / FORGET)
+        return float(self.away * 0.5 ** (max(0.0, now - self.away_at) / FORGET))
 
     def wanted(self, now: float, one: Address) -> Why:
         """The rules, first that holds; docs/bgp.md names each."""
--- a/thymeyoke/bgp/peer_connection.py
+++ b/thymeyoke/bgp/peer_connection.py
@@ -38,7 +38,7 @@
 )
 from thymeyoke.runtime import logs
 from thymeyoke.runtime.clock import clock
-from thymeyoke.runtime.extensions import Refused
+from thymeyoke.runtime.extensions import HostConfigurationError
 
 CHUNK = 1 << 14
 FLOOD, FLOOD_SPAN = float(1 << 20), 8.0  # octets that a peer may say at once, and until it may again
@@ -99,10 +99,10 @@
                     speaker.down(self)
                 case Took(heard):
                     for way, text in heard.faults:
-                        logs.counts[
+                        logs.counters[
                             "announce_" + ("treated_as_withdrawn" if way == Way.WITHDRAW else "discarded")
                         ] += 1
-                        logs.of_peer("bgp attribute", peer=speaker.peer.name, why=text)
+                        logs.log_peer_fault("bgp_attribute_invalid", peer=speaker.peer.name, reason=text)
                     speaker.shown.heard(speaker.peer.name, heard)
                     speaker.changed()
                 case Refreshed(said):
@@ -137,7 +137,7 @@
             self.dialing = scope
             try:
                 stream = await tcp.connect(self.speaker.peer)
-            except (OSError, Refused) as error:
+            except (OSError, HostConfigurationError) as error:
                 self.session.refused(clock(), str(error))
                 return self.hear(Event.TCP_FAILS)
         if not scope.cancelled_caught:
@@ -160,8 +160,8 @@
                     await self._read(stream)
                     scope.cancel()
         except Exception as error:
-            logs.counts["announce_error"] += 1
-            logs.say(logging.ERROR, "bgp connection ends", error, peer=self.speaker.peer.name)
+            logs.counters["announce_error"] += 1
+            logs.log_event(logging.ERROR, "bgp_connection_failed", error, peer=self.speaker.peer.name)
         finally:
             over.set()
         if self.stream is stream:
@@ -175,7 +175,7 @@
                 return
             now = clock()
             if not self.flood.has(now, len(data)):
-                logs.counts["announce_floods"] += 1
+                logs.counters["announce_floods"] += 1
                 return self.hear(Event.UPDATE_ERROR, wire.Wrong(wire.Code.CEASE, 8))
             self.flood.take(now, len(data))
             try:
@@ -185,11 +185,11 @@
                         return
                     self.reader.agreed = self.session.agreed
             except wire.Wrong as error:
-                logs.counts["announce_garbled"] += 1
+                logs.counters["announce_garbled"] += 1
                 return self.do(self.session.garbled(now, error))
 
     def take(self, now: float, message: wire.Message) -> None:
-        logs.counts["announce_messages_in"] += 1
+        logs.counters["announce_messages_in"] += 1
         before = self.session.state
         self.do(self.session.take(now, message))
         if before == State.OPEN_SENT and self.session.state == State.OPEN_CONFIRM:
@@ -225,7 +225,7 @@
             if agreed.enhanced:
                 out += [wire.encode(refresh._replace(kind=2)) for refresh in self.again]
             self.again.clear()
-            logs.counts["announce_updates_out"] += len(updates)
+            logs.counters["announce_updates_out"] += len(updates)
         return b"".join(out)
 
     def _watch(self, size: int) -> None:
@@ -339,8 +339,8 @@
     # What the connections tell.
 
     def up(self, talk: Talk) -> None:
-        logs.counts["announce_sessions_up"] += 1
-        logs.say(logging.INFO, "bgp up", peer=self.peer.name, hold=talk.session.hold)
+        logs.counters["announce_sessions_up"] += 1
+        logs.log_event(logging.INFO, "bgp_session_established", peer=self.peer.name, hold=talk.session.hold)
         if talk is not self.main:
             self.other, self.main = self.main, talk
         if self.other:
@@ -348,8 +348,10 @@
             self.other = None
 
     def down(self, talk: Talk) -> None:
-        logs.counts["announce_sessions_lost"] += 1
-        logs.say(logging.WARNING, "bgp down", peer=self.peer.name, why=talk.session.error or "stopped")
+        logs.counters["announce_sessions_lost"] += 1
+        logs.log_event(
+            logging.WARNING, "bgp_session_closed", peer=self.peer.name, reason=talk.session.error or "stopped"
+        )
         self.shown.lost(self.peer.name)
         self.changed()
 
--- a/thymeyoke/bgp/session.py
+++ b/thymeyoke/bgp/session.py
@@ -227,13 +227,13 @@
         self.half_life, self.weight, self.at = half_life, 0.0, 0.0
 
     def now(self, now: float) -> float:
-        return self.weight * 0.5 ** (max(0.0, now - self.at) / self.half_life)
+        return float(self.weight * 0.5 ** (max(0.0, now - self.at) / self.half_life))
 
     def flap(self, now: float) -> None:
         self.weight, self.at = min(2.0 * DOUBLINGS, self.now(now) + 1), now
 
     def factor(self, now: float) -> float:
-        return 2.0 ** min(DOUBLINGS, max(0.0, self.now(now) - 1))
+        return float(2.0 ** min(DOUBLINGS, max(0.0, self.now(now) - 1)))
 
 
 class Session:
--- a/thymeyoke/bgp/tcp.py
+++ b/thymeyoke/bgp/tcp.py
@@ -11,16 +11,18 @@
 import os
 import socket
 import struct
+from collections.abc import Callable
 from contextlib import suppress
 from fcntl import ioctl
 from termios import TIOCOUTQ
+from typing import Any
 
 import anyio
 from anyio.abc import SocketAttribute, SocketStream
 
 from thymeyoke.bgp.configuration import Announce, Peer
-from thymeyoke.configuration.service_config import HostPort, Ip
-from thymeyoke.runtime.extensions import Refused
+from thymeyoke.configuration.service_config import HostPort, IpAddress
+from thymeyoke.runtime.extensions import HostConfigurationError
 
 MD5SIG = 14  # TCP_MD5SIG, linux/tcp.h
 MIN_TTL, MIN_HOPS = 21, 73  # IP_MINTTL, IPV6_MINHOPCOUNT
@@ -29,11 +31,11 @@
 FAREWELL = 0.1  # seconds in which a peer takes a last NOTIFICATION before the connection is reset
 
 
-def _family(ip: Ip) -> socket.AddressFamily:
+def _family(ip: IpAddress) -> socket.AddressFamily:
     return socket.AF_INET if ip.version == 4 else socket.AF_INET6
 
 
-def _md5(sock: socket.socket, ip: Ip, password: str) -> None:
+def _md5(sock: socket.socket, ip: IpAddress, password: str) -> None:
     family = _family(ip)
     if family == socket.AF_INET:
         address = struct.pack("=HH4s", family, 0, ip.packed)
@@ -44,7 +46,7 @@
     sock.setsockopt(socket.IPPROTO_TCP, MD5SIG, said)
 
 
-def _near(sock: socket.socket, ip: Ip, least: int) -> None:
+def _near(sock: socket.socket, ip: IpAddress, least: int) -> None:
     if ip.version == 4:
         sock.setsockopt(socket.IPPROTO_IP, socket.IP_TTL, NEAR)
         sock.setsockopt(socket.IPPROTO_IP, MIN_TTL, least)
@@ -54,16 +56,17 @@
 
 
 def _dress(sock: socket.socket, peer: Peer) -> None:
-    for what, wanted, dress in (
+    steps: tuple[tuple[str, Any, Callable[[], None]], ...] = (
         ("password", peer.password, lambda: _md5(sock, peer.address.ip, peer.password or "")),
         ("min_ttl", peer.min_ttl, lambda: _near(sock, peer.address.ip, peer.min_ttl)),
         ("source", peer.source, lambda: sock.bind((str(peer.source), 0))),
-    ):
+    )
+    for what, wanted, dress in steps:
         try:
             if wanted:
                 dress()
         except OSError as error:
-            raise Refused(
+            raise HostConfigurationError(
                 f"[announce.peer {peer.name}] {what}: this machine refuses it ({error.strerror}); "
                 f"leave it out, or let this user set it") from None  # fmt: skip
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
--- a/thymeyoke/bgp/wire.py
+++ b/thymeyoke/bgp/wire.py
@@ -403,7 +403,8 @@
 
 
 def _attributes(data: bytes) -> tuple[tuple[Attribute, ...], bytes]:
-    found, at = [], 0
+    found: list[Attribute] = []
+    at = 0
     while at < len(data):
         wide = 2 if data[at] & 0x10 else 1
         end = at + 2 + wide
--- a/thymeyoke/configuration/service_config.py
+++ b/thymeyoke/configuration/service_config.py
@@ -1,8 +1,8 @@
-"""The operators' file: INI, one typed value a section.
+"""The service configuration: an INI file, read into one typed value for each section.
 
-Read with `configparser`, each option checked by msgspec against the type that its section's own module
-states. A section's module is imported only where the file has that section. What can't be taken is one
-sentence that names file, section and option, and what would do.
+Each option is converted by msgspec to the type that the section's own module declares. A section's module is
+imported only where the file has that section. An error is one sentence that names file, section and option,
+and what to write instead.
 """
 
 from __future__ import annotations
@@ -21,8 +21,8 @@
 
 import msgspec
 
-# Each has `gather`: the section and those under it.
-SECTIONS = {
+# Each module has `read_settings`, for the section and its subsections.
+SECTION_MODULES = {
     "announce": "thymeyoke.bgp.configuration",
     "ledger": "thymeyoke.ledger.configuration",
     "members": "thymeyoke.membership.configuration",
@@ -30,27 +30,26 @@
     "node": "thymeyoke.proxy.configuration",
 }
 
-SECRET = ("password", "key")  # not told in errors
-Section = TypeVar("Section", bound=msgspec.Struct)
-Orders = dict[str, Any]  # by the section's name, what its module made of it
+SECRET_OPTIONS = ("password", "key")  # whose values are never quoted in an error
+SectionType = TypeVar("SectionType", bound=msgspec.Struct)
+ServiceConfig = dict[str, Any]  # settings by the section's name
+IpAddress = IPv4Address | IPv6Address
+HOST_PORT_DESCRIPTION = "an IP address and a port, as 192.0.2.9:179 or [2001:db8::9]:179"
 
 
-Ip = IPv4Address | IPv6Address
-PORT = "an IP address and a port, as 192.0.2.9:179 or [2001:db8::9]:179"
-
-
-class BadOrders(Exception):
-    """The operators' file can't be taken; the text is for them."""
+class ServiceConfigError(Exception):
+    """The file cannot be used; the text tells the operator why."""
 
 
 class HostPort:
-    """An IP address and a port; no name is looked up."""
+    """An IP address and a port; no host name is resolved."""
 
-    def __init__(self, ip: Ip, port: int) -> None:
+    def __init__(self, ip: IpAddress, port: int) -> None:
         self.ip, self.port = ip, port
 
     @classmethod
     def parse(cls, text: str) -> HostPort:
+        """Read `address:port`, with an IPv6 address in brackets; ValueError if it is anything else."""
         host, _, port = text.rpartition(":")
         if not 0 < int(port) < 65536:
             raise ValueError(text)
@@ -66,8 +65,8 @@
         return f"[{self.ip}]:{self.port}" if self.ip.version == 6 else f"{self.ip}:{self.port}"
 
 
-class Raw:
-    """The sections of a file as text, and who they belong to in an error."""
+class ConfigFile:
+    """The sections of one file as text, with errors that name the file."""
 
     def __init__(self, path: Path, text: str) -> None:
         self.path = path
@@ -75,76 +74,87 @@
         try:
             parser.read_string(text)
         except DuplicateSectionError as error:
-            raise self.bad(error.section, None, "stands twice; give each its own name") from None
+            raise self.error(error.section, None, "stands twice; give each its own name") from None
         except DuplicateOptionError as error:
-            raise self.bad(error.section, error.option, "stands twice; keep one") from None
+            raise self.error(error.section, error.option, "stands twice; keep one") from None
         except (MissingSectionHeaderError, ParsingError) as error:
             line = getattr(error, "lineno", None) or error.errors[0][0]
-            raise BadOrders(
+            raise ServiceConfigError(
                 f"{path}: line {line} can't be read; write [section] lines, and option = value under them"
             ) from None
         self.sections: dict[str, dict[str, str]] = {}
-        for name in parser.sections():
-            plain = " ".join(name.split())
-            if plain in self.sections:
-                raise self.bad(plain, None, "stands twice; give each its own name")
-            self.sections[plain] = dict(parser[name])
-
-    def bad(self, section: str, option: str | None, what: str) -> BadOrders:
-        return BadOrders(f"{self.path}: [{section}] " + (f"{option}: {what}" if option else what))
-
-    def take(self, section: str, type_: type[Section], **given: Any) -> Section:
-        """One section as a typed value. `given` are fields that no option sets."""
+        for raw_name in parser.sections():
+            name = " ".join(raw_name.split())
+            if name in self.sections:
+                raise self.error(name, None, "stands twice; give each its own name")
+            self.sections[name] = dict(parser[raw_name])
+
+    def error(self, section: str, option: str | None, problem: str) -> ServiceConfigError:
+        """An error that names file, section and, where it is one option's, the option."""
+        text = f"{option}: {problem}" if option else problem
+        return ServiceConfigError(f"{self.path}: [{section}] {text}")
+
+    def read_section(self, section: str, type_: type[SectionType], **given: Any) -> SectionType:
+        """Convert one section to a typed value; `given` are fields that no option sets."""
         options = self.sections[section]
         hints = get_type_hints(type_, include_extras=True)
-        every = msgspec.structs.fields(type_)
-        fields = {field.encode_name: field for field in every if field.name not in given}
+        all_fields = msgspec.structs.fields(type_)
+        fields = {field.encode_name: field for field in all_fields if field.name not in given}
         for option in options:
             if option not in fields:
-                raise self.bad(section, option, f"no such option; there are {', '.join(sorted(fields))}")
+                raise self.error(section, option, f"no such option; there are {', '.join(sorted(fields))}")
         values = dict(given)
         for option, field in fields.items():
             if option in options:
-                values[field.name] = self._value(section, option, options[option], hints[field.name])
+                values[field.name] = self._convert(section, option, options[option], hints[field.name])
             elif field.required:
-                raise self.bad(section, option, f"is missing; give {_would_do(hints[field.name])}")
+                raise self.error(section, option, f"is missing; give {_describe(hints[field.name])}")
         return type_(**values)
 
-    def _value(self, section: str, option: str, text: str, hint: Any) -> Any:
-        plain = get_args(hint)[0] if hasattr(hint, "__metadata__") else hint
-        many = get_origin(plain) is tuple
-        value: Any = [part for word in text.split(",") if (part := word.strip())] if many else text.strip()
+    def _convert(self, section: str, option: str, text: str, hint: Any) -> Any:
+        """One option's text as the type of its hint; a tuple is written with commas."""
+        plain_type = get_args(hint)[0] if hasattr(hint, "__metadata__") else hint
+        is_tuple = get_origin(plain_type) is tuple
+        value: Any = _split_list(text) if is_tuple else text.strip()
         try:
-            return msgspec.convert(value, hint, strict=False, dec_hook=_own)
+            return msgspec.convert(value, hint, strict=False, dec_hook=_decode_custom_type)
         except (msgspec.ValidationError, ValueError):
-            said = "what is given" if option in SECRET else repr(text)
-            raise self.bad(section, option, f"{said} can't be used; give {_would_do(hint)}") from None
+            quoted = "what is given" if option in SECRET_OPTIONS else repr(text)
+            raise self.error(section, option, f"{quoted} can't be used; give {_describe(hint)}") from None
+
+
+def _split_list(text: str) -> list[str]:
+    return [part for word in text.split(",") if (part := word.strip())]
 
 
-def _own(kind: Any, value: Any) -> Any:
-    """Types that msgspec does not know read themselves; what they can't read is a ValueError."""
-    return kind.parse(value) if hasattr(kind, "parse") else kind(value)
+def _decode_custom_type(type_: Any, value: Any) -> Any:
+    """A value of a type that msgspec does not know, by its `parse` or its constructor."""
+    return type_.parse(value) if hasattr(type_, "parse") else type_(value)
 
 
-def _would_do(hint: Any) -> str:
-    metas = [meta for meta in getattr(hint, "__metadata__", ()) if isinstance(meta, msgspec.Meta)]
-    return next((meta.description for meta in metas if meta.description), "a value of its type")
+def _describe(hint: Any) -> str:
+    """What an option accepts, for an error."""
+    metadata = [meta for meta in getattr(hint, "__metadata__", ()) if isinstance(meta, msgspec.Meta)]
+    return next((meta.description for meta in metadata if meta.description), "a value of its type")
 
 
-def read(path: Path) -> Orders:
-    """A whole file, or `BadOrders`: nothing of a bad file is taken."""
+def read_service_config(path: Path) -> ServiceConfig:
+    """Read a whole file; raises `ServiceConfigError`, and nothing of a bad file is used."""
     try:
-        raw = Raw(path, path.read_text())
+        config_file = ConfigFile(path, path.read_text())
     except OSError as error:
-        raise BadOrders(f"{path}: cannot be read: {error.strerror}") from None
+        raise ServiceConfigError(f"{path}: cannot be read: {error.strerror}") from None
     except UnicodeDecodeError:
-        raise BadOrders(f"{path}: is not UTF-8 text") from None
-    for name in raw.sections:
-        head = name.partition(".")[0]
-        if head not in SECTIONS:
-            raise raw.bad(name, None, f"no such section; there are {', '.join(sorted(SECTIONS))}")
-        if head not in raw.sections:
-            raise raw.bad(name, None, f"stands without [{head}]; add that section")
+        raise ServiceConfigError(f"{path}: is not UTF-8 text") from None
+    for name in config_file.sections:
+        parent = name.partition(".")[0]
+        if parent not in SECTION_MODULES:
+            known = ", ".join(sorted(SECTION_MODULES))
+            raise config_file.error(name, None, f"no such section; there are {known}")
+        if parent not in config_file.sections:
+            raise config_file.error(name, None, f"stands without [{parent}]; add that section")
     return {
-        name: import_module(module).gather(raw) for name, module in SECTIONS.items() if name in raw.sections
+        name: import_module(module).read_settings(config_file)
+        for name, module in SECTION_MODULES.items()
+        if name in config_file.sections
     }
--- a/thymeyoke/configuration/start_file.py
+++ b/thymeyoke/configuration/start_file.py
@@ -1,7 +1,7 @@
-"""What is told at a start, as the port's types: for the drill and for the app server on sockets.
+"""The platform's start file, as typed values for an app server and its admission control.
 
-Nothing is decided here. `start` reads the object that both are handed, `station` the rest of a start file.
-Keys that are not known are skipped. What is missing or can't be used is a `BadStart` that names the field.
+`read_start_file` reads a whole file, `read_admission_settings` the settings that the simulator hands over as
+well. Keys that are not known are skipped. Here alone stand the file's spellings; all spans become seconds.
 """
 
 from __future__ import annotations
@@ -9,296 +9,262 @@
 import resource
 from math import inf
 from pathlib import Path
-from typing import Any, NamedTuple, TypeVar
+from typing import Any, NamedTuple
 
 import orjson
 
-from thymeyoke.admission import settings
-
-MICRO = 1e-6
-MEGABYTE = 1 << 20
-REPEATS = {
-    "retryable": settings.Repeat.RETRYABLE,
-    "dedup": settings.Repeat.KEYED,
-    "fragile": settings.Repeat.NON_RETRYABLE,
+from thymeyoke.admission.settings import (
+    AdmissionSettings,
+    ClientSettings,
+    DependencyKind,
+    DependencySettings,
+    Idempotency,
+    Machine,
+    OverloadLimits,
+    RequestClass,
+    ServiceTerms,
+    SignalKind,
+    StopEffect,
+    TenantSettings,
+)
+from thymeyoke.configuration.fields import FieldReader, StartFileError
+
+SECONDS_PER_MICROSECOND = 1e-6
+BYTES_PER_MEGABYTE = 1 << 20
+MILLISECONDS_PER_SECOND = 1000
+IDEMPOTENCY_BY_EFFECT = {
+    "retryable": Idempotency.IDEMPOTENT,
+    "dedup": Idempotency.WITH_KEY,
+    "fragile": Idempotency.NOT_IDEMPOTENT,
+}
+DEPENDENCY_KINDS = {
+    "one_for_all": DependencyKind.SHARED,
+    "tier": DependencyKind.TIER,
+    "silent": DependencyKind.NONE,
 }
-BELOW = {"one_for_all": settings.Below.SHARED, "tier": settings.Below.TIER, "silent": settings.Below.NOTHING}
-SIGNALS = {
-    "floor": settings.Signal.FLOOR,
-    "allowance": settings.Signal.ALLOWANCE,
-    "weight": settings.Signal.WEIGHT,
-    "silent": settings.Signal.NOTHING,
+SIGNAL_KINDS = {
+    "floor": SignalKind.FLOOR,
+    "allowance": SignalKind.ALLOWANCE,
+    "weight": SignalKind.WEIGHT,
+    "silent": SignalKind.NONE,
 }
-HALTS = {"freeze": settings.Halt.PAUSE, "discard": settings.Halt.DROP, "silent": settings.Halt.NOTHING}
-GAUGES = {"cpu_busy": "busy", "runnable": "runnable", "mem_used": "memory", "sockets": "connections"}
+STOP_EFFECTS = {"freeze": StopEffect.PAUSE, "discard": StopEffect.DISCARD, "silent": StopEffect.NONE}
+GAUGE_NAMES = {"cpu_busy": "busy", "runnable": "runnable", "mem_used": "memory", "sockets": "connections"}
 HIGHEST_PORT = 65535
-MOST_DESCRIPTORS = 1024  # where no limit is told
-UNUSABLE = "holds a value that cannot be used"
-NO_IDLE_CLOSE_US = 3_600_000_000  # an hour: the span of callers who are not said to close idle connections
-
-Meaning = TypeVar("Meaning")
+DEFAULT_MAX_DESCRIPTORS = 1024  # where no limit is told
+DEFAULT_IDLE_TIMEOUT_US = 3_600_000_000  # of clients that are not said to close idle connections
 
 
-class BadStart(Exception):
-    """What is told at the start is not enough to serve."""
+class Address(NamedTuple):
+    """A host, as text, and a port."""
 
+    host: str
+    port: int
 
-class Fields:
-    """One object of a start file; `path` leads to it. `null` counts as absent."""
+    def __str__(self) -> str:
+        return f"{self.host}:{self.port}"
 
-    def __init__(self, value: Any, path: str = "") -> None:
-        if not isinstance(value, dict):
-            raise BadStart(f"{UNUSABLE}: {path or 'the whole'} must be an object, not {_shown(value)}")
-        self.value, self.path = value, path
 
-    def at(self, name: str) -> str:
-        return f"{self.path}.{name}" if self.path else name
+class RequestNames(NamedTuple):
+    """Requests name their class and tenant; admission control counts them from 0."""
 
-    def bad(self, name: str, expected: str) -> BadStart:
-        found = self.value.get(name)
-        if found is None:
-            return BadStart(f"lacks '{name}' in {self.path or 'the whole'}; it must be {expected}")
-        return BadStart(f"{UNUSABLE}: {self.at(name)} must be {expected}, not {_shown(found)}")
+    request_classes: dict[str, int]
+    tenants: dict[str, int]
 
-    def number(
-        self, name: str, default: float | None = None, *, least: float = 0.0, above: float | None = None
-    ) -> float:
-        """At least `least`, or more than `above` where that is given. Without a default it must be there."""
-        value = self.value.get(name, default)
-        value = default if value is None else value
-        expected = f"a number of at least {least:g}" if above is None else f"a number above {above:g}"
-        if not _is_number(value) or value < least or (above is not None and value <= above):
-            raise self.bad(name, expected)
-        return value
 
-    def flag(self, name: str) -> bool:
-        value = self.value.get(name)
-        if value not in (None, False, True):
-            raise self.bad(name, "true or false")
-        return bool(value)
+class ServerSettings(NamedTuple):
+    """One app server's addresses and resources."""
 
-    def text(self, name: str) -> str:
-        value = self.value.get(name)
-        if not isinstance(value, str) or not value:
-            raise self.bad(name, "a text")
-        return value
+    name: str
+    listen: Address
+    processor: Address
+    dependency: Address | None  # None where requests call no dependency
+    endpoint_registry: Address
+    stop_timeout: float  # seconds from the shutdown notice until the process is killed
+    max_descriptors: int
+    memory_limit: float  # bytes; infinite where the start file names none
 
-    def word(self, name: str, words: dict[str, Meaning], default: str | None = None) -> Meaning:
-        value = self.value.get(name)
-        value = default if value is None else value
-        if not isinstance(value, str) or value not in words:
-            raise self.bad(name, f"one of {', '.join(words)}")
-        return words[value]
 
-    def section(self, name: str, *, optional: bool = False) -> Fields:
-        value = self.value.get(name)
-        if value is None and not optional:
-            raise self.bad(name, "an object")
-        return Fields({} if value is None else value, self.at(name))
+class StartFile(NamedTuple):
+    """A start file."""
 
-    def entries(self, name: str) -> list[Any]:
-        value = self.value.get(name)
-        if value is not None and not isinstance(value, list):
-            raise self.bad(name, "a list")
-        return value or []
+    server: ServerSettings
+    request_names: RequestNames
+    admission: AdmissionSettings
 
-    def rows(self, name: str) -> list[Fields]:
-        return [Fields(row, self.at(f"{name}[{at}]")) for at, row in enumerate(self.entries(name))]
 
-    def entry(self, name: str, at: int) -> Fields:
-        """One entry of a list that has one for each request class; absent where the list is shorter."""
-        entries = self.entries(name)
-        return Fields({str(at): entries[at] if at < len(entries) else None}, self.at(name))
+def read_start_file(path: Path) -> StartFile:
+    """Read a start file; `StartFileError` names the file, the field and what it must be."""
+    try:
+        document = orjson.loads(path.read_bytes())
+        profile = FieldReader(document).section("settings").value
+        return StartFile(
+            read_server_settings(document),
+            read_request_names(profile),
+            read_admission_settings(read_seed(document), profile),
+        )
+    except StartFileError as error:
+        raise StartFileError(f"start file {path} {error}") from None
+    except OSError as error:
+        raise StartFileError(f"start file {path} cannot be read: {error.strerror}") from None
+    except orjson.JSONDecodeError as error:
+        raise StartFileError(f"start file {path} is not JSON: {error}") from None
 
 
-def _is_number(value: Any) -> bool:
-    return isinstance(value, int | float) and not isinstance(value, bool)
+def read_server_settings(document: dict[str, Any]) -> ServerSettings:
+    """The parts of a start file that tell where the server is and what it may use."""
+    fields = FieldReader(document)
+    family = fields.section("settings").section("family_info")
+    limits = fields.section("limits", optional=True)
+    kind = family.one_of("below", DEPENDENCY_KINDS, "silent")
+    has_dependency = bool(document.get("db")) or kind is not DependencyKind.NONE
+    return ServerSettings(
+        name=fields.text("name"),
+        listen=read_address(fields, "listen", least_port=0),  # 0: any that is free
+        processor=read_address(fields, "processor"),
+        dependency=read_address(fields, "db") if has_dependency else None,
+        endpoint_registry=read_address(fields, "naming"),
+        stop_timeout=fields.number("stop_ms") / MILLISECONDS_PER_SECOND,
+        max_descriptors=int(limits.number("sockets", _available_descriptors(), least=1)),
+        memory_limit=limits.number("memory_mb", inf, above=0) * BYTES_PER_MEGABYTE,
+    )
 
 
-def _shown(value: Any) -> str:
-    return repr(value) if len(repr(value)) <= 40 else type(value).__name__
+def read_address(fields: FieldReader, name: str, least_port: int = 1) -> Address:
+    """HOST:PORT. A port out of range would else be found by the first connect, at every attempt anew."""
+    host, _, port = fields.text(name).rpartition(":")
+    host = host.removeprefix("[").removesuffix("]")
+    is_number = port.isascii() and port.isdigit() and len(port) <= len(str(HIGHEST_PORT))
+    if not host or not is_number or not least_port <= int(port) <= HIGHEST_PORT:
+        raise fields.error(name, f"HOST:PORT with a port from {least_port} to {HIGHEST_PORT}")
+    return Address(host, int(port))
 
 
-def op_types(profile: dict[str, Any]) -> tuple[settings.OpType, ...]:
-    root = Fields(profile, "settings")
-    family = root.section("family_info", optional=True)
-    rows = root.rows("request_classes")
-    if not rows:
-        raise root.bad("request_classes", "a list with at least one class")
-    return tuple(_op_type(row, family, at) for at, row in enumerate(rows))
-
-
-def _op_type(row: Fields, family: Fields, at: int) -> settings.OpType:
-    deadline = row.number("deadline_us", above=0)
-    repeat = row.word("effect", REPEATS)
-    # A window that is not told must not be none: a repeat within the client's patience would run again.
-    window = row.number("memory_span_us", deadline if repeat is settings.Repeat.KEYED else 0)
-    return settings.OpType(
-        target=row.number("aim_us", above=0) * MICRO,
-        timeout=deadline * MICRO,
-        repeat=repeat,
-        importance=row.number("worth", 0),
-        late_share=row.number("late_worth", 0),
-        poorer_share=family.entry("worth_without", at).number(str(at), 0),
-        calls=family.entry("class_calls", at).flag(str(at)),
-        key_window=window * MICRO,
-        stretch=row.number("aim_stretch", 0),
+def read_request_names(profile: dict[str, Any]) -> RequestNames:
+    """The names of request classes and tenants, by their place in the settings."""
+    root = FieldReader(profile, "settings")
+    return RequestNames(
+        {row.text("name"): index for index, row in enumerate(root.objects("request_classes"))},
+        {row.text("name"): index for index, row in enumerate(root.objects("tenants"))},
     )
 
 
-def start(seed: int, profile: dict[str, Any]) -> dict[str, Any]:
-    """What the decisions are handed at a start, by the names that they take."""
-    root = Fields(profile, "settings")
+def read_seed(document: dict[str, Any]) -> int:
+    """The seed of the server's random numbers."""
+    fields = FieldReader(document)
+    try:
+        return int(fields.text("seed"), 16)
+    except ValueError:
+        raise fields.error("seed", "a hexadecimal number as a text") from None
+
+
+def read_admission_settings(seed: int, profile: dict[str, Any]) -> AdmissionSettings:
+    """The settings of admission control, from the object `settings` of a start file or of the simulator."""
+    root = FieldReader(profile, "settings")
     family, contract = root.section("family_info"), root.section("contract")
-    return {
-        "seed": seed,
-        "op_types": op_types(profile),
-        "machine": settings.Machine(
-            cores=family.number("cpus", above=0),
-            memory=family.number("memory_kb", above=0),
-            run_factor=family.number("run_factor", above=0),
-            key_size=family.number("kb_per_key", 0),
-            tick=root.number("tick_us", 0) * MICRO,
-            halt=family.word("halt", HALTS, "silent"),
-            gauges=tuple(GAUGES.get(name, name) for name in map(str, family.entries("gauges"))),
+    return AdmissionSettings(
+        seed=seed,
+        request_classes=read_request_classes(profile),
+        machine=_read_machine(root, family),
+        overload=_read_overload_limits(family, contract),
+        terms=ServiceTerms(
+            answer_slack=contract.number("answer_slack_us") * SECONDS_PER_MICROSECOND,
+            drain_grace=contract.number("drain_grace_us") * SECONDS_PER_MICROSECOND,
         ),
-        "survival": settings.Survival(
-            crowd=contract.number("fall_multiple", least=1),
-            crowd_span=contract.number("fall_us") * MICRO,
-            cold=family.flag("cold"),
-            # Where no least speed is told, none is sure: at full speed a cold server would fall.
-            cold_share=contract.number("cold_share", 0),
-            cold_span=contract.number("cold_us", 0) * MICRO,
+        dependency=_read_dependency(family),
+        clients=_read_clients(root, family),
+        tenants=tuple(
+            TenantSettings(row.number("share", 0), row.number("quota_per_s", 0))
+            for row in root.objects("tenants")
         ),
-        "duty": settings.Duty(
-            contract.number("answer_slack_us") * MICRO, contract.number("drain_grace_us") * MICRO
-        ),
-        "dependency": _dependency(family),
-        "callers": _callers(root, family),
-        "tenants": tuple(
-            settings.Tenant(row.number("share", 0), row.number("quota_per_s", 0))
-            for row in root.rows("tenants")
-        ),
-    }
-
-
-def _dependency(family: Fields) -> settings.Dependency:
-    kind, fair_calls = family.word("below", BELOW, "silent"), family.number("fair_calls", 0)
-    if kind is settings.Below.SHARED and not fair_calls:
-        # A part that is not told is not a part of nothing, which would let no call out, ever: as with a tier,
-        # the answers alone tell how much what lies below takes.
-        kind = settings.Below.TIER
-    return settings.Dependency(
-        kind=kind,
-        fair_calls=fair_calls,
-        fair_span=family.number("calls_over_us", 0) * MICRO,
-        linger=family.number("linger_us", 0) * MICRO,
     )
 
 
-def _callers(root: Fields, family: Fields) -> settings.Callers:
-    caps = root.section("caps", optional=True)
-    longest_wait = caps.number("max_retry_after_us", 0) * MICRO
-    return settings.Callers(
-        count=family.number("callers", 0),
-        signal=family.word("signal", SIGNALS, "silent"),
-        heeded=family.number("heeded_us", 0) * MICRO,
-        max_wait=longest_wait if caps.flag("retry_after") else 0.0,
-        marks_further=root.section("clients", optional=True).flag("marks_retry"),
-        # Callers who are not said to close idle connections keep them: none is closed at every look for it.
-        idle=(family.number("idle_us", 0) or NO_IDLE_CLOSE_US) * MICRO,
-        fresh=family.number("fresh_for_us", 0) * MICRO,
-        list_follows=family.flag("list_follows"),
+def read_request_classes(profile: dict[str, Any]) -> tuple[RequestClass, ...]:
+    """All request classes, at least one."""
+    root = FieldReader(profile, "settings")
+    family = root.section("family_info", optional=True)
+    rows = root.objects("request_classes")
+    if not rows:
+        raise root.error("request_classes", "a list with at least one class")
+    return tuple(_read_request_class(row, family, index) for index, row in enumerate(rows))
+
+
+def _read_request_class(fields: FieldReader, family: FieldReader, index: int) -> RequestClass:
+    deadline = fields.number("deadline_us", above=0)
+    idempotency = fields.one_of("effect", IDEMPOTENCY_BY_EFFECT)
+    # A window that is absent must not be none: a retry within the client's timeout would run again.
+    default_window = deadline if idempotency is Idempotency.WITH_KEY else 0
+    window = fields.number("memory_span_us", default_window)
+    return RequestClass(
+        latency_objective=fields.number("aim_us", above=0) * SECONDS_PER_MICROSECOND,
+        client_timeout=deadline * SECONDS_PER_MICROSECOND,
+        idempotency=idempotency,
+        priority_weight=fields.number("worth", 0),
+        late_value_share=fields.number("late_worth", 0),
+        degraded_value_share=family.entry("worth_without", index).number(str(index), 0),
+        calls_dependency=family.entry("class_calls", index).flag(str(index)),
+        idempotency_window=window * SECONDS_PER_MICROSECOND,
+        objective_stretch=fields.number("aim_stretch", 0),
     )
 
 
-class Address(NamedTuple):
-    host: str
-    port: int
-
-    def __str__(self) -> str:
-        return f"{self.host}:{self.port}"
-
-
-class Names(NamedTuple):
-    """Ops name their type and tenant; the port counts them from 0."""
-
-    op_types: dict[str, int]
-    tenants: dict[str, int]
-
-
-class Station(NamedTuple):
-    """One app server's place: its own address and its peers', and what it may use."""
-
-    name: str
-    listen: Address
-    processor: Address
-    database: Address | None  # none where nothing lies below
-    roster: Address
-    stop: float  # from the notice to leave until the process is killed
-    descriptors: int
-    memory: float  # bytes that this process may take; without end where the start file names none
-
-
-def address(told: Fields, name: str, least_port: int = 1) -> Address:
-    """HOST:PORT. A port out of range would be found by the first connect, at every try anew."""
-    host, _, port = told.text(name).rpartition(":")
-    host = host.removeprefix("[").removesuffix("]")
-    sound = host and port.isascii() and port.isdigit() and len(port) <= len(str(HIGHEST_PORT))
-    if not sound or not least_port <= int(port) <= HIGHEST_PORT:
-        raise told.bad(name, f"HOST:PORT with a port from {least_port} to {HIGHEST_PORT}")
-    return Address(host, int(port))
-
-
-def station(told: dict[str, Any]) -> Station:
-    fields = Fields(told)
-    family = fields.section("settings").section("family_info")
-    limits = fields.section("limits", optional=True)
-    calls = bool(told.get("db")) or family.word("below", BELOW, "silent") is not settings.Below.NOTHING
-    return Station(
-        name=fields.text("name"),
-        listen=address(fields, "listen", least_port=0),  # 0: any that is free
-        processor=address(fields, "processor"),
-        database=address(fields, "db") if calls else None,
-        roster=address(fields, "naming"),
-        stop=fields.number("stop_ms") / 1000,
-        descriptors=int(limits.number("sockets", _descriptors(), least=1)),
-        memory=limits.number("memory_mb", inf, above=0) * MEGABYTE,
+def _read_machine(root: FieldReader, family: FieldReader) -> Machine:
+    return Machine(
+        cores=family.number("cpus", above=0),
+        memory=family.number("memory_kb", above=0),
+        running_memory_factor=family.number("run_factor", above=0),
+        retained_key_size=family.number("kb_per_key", 0),
+        tick=root.number("tick_us", 0) * SECONDS_PER_MICROSECOND,
+        stop_effect=family.one_of("halt", STOP_EFFECTS, "silent"),
+        gauges=tuple(GAUGE_NAMES.get(name, name) for name in map(str, family.entries("gauges"))),
     )
 
 
-def _descriptors() -> int:
-    """What the system lets this process have."""
-    soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-    return MOST_DESCRIPTORS if soft == resource.RLIM_INFINITY else min(soft, MOST_DESCRIPTORS)
+def _read_overload_limits(family: FieldReader, contract: FieldReader) -> OverloadLimits:
+    return OverloadLimits(
+        max_concurrency=contract.number("fall_multiple", least=1),
+        averaging_span=contract.number("fall_us") * SECONDS_PER_MICROSECOND,
+        starts_cold=family.flag("cold"),
+        # Where no least speed is told, none is sure: at full speed a cold server would fall over.
+        cold_speed_share=contract.number("cold_share", 0),
+        warm_up_timeout=contract.number("cold_us", 0) * SECONDS_PER_MICROSECOND,
+    )
 
 
-def names(profile: dict[str, Any]) -> Names:
-    root = Fields(profile, "settings")
-    return Names(
-        {row.text("name"): at for at, row in enumerate(root.rows("request_classes"))},
-        {row.text("name"): at for at, row in enumerate(root.rows("tenants"))},
+def _read_dependency(family: FieldReader) -> DependencySettings:
+    kind = family.one_of("below", DEPENDENCY_KINDS, "silent")
+    fair_concurrency = family.number("fair_calls", 0)
+    if kind is DependencyKind.SHARED and not fair_concurrency:
+        # A part that is absent is not a part of nothing, which would let no call out, ever: as with a tier,
+        # the answers alone tell how much the dependency takes.
+        kind = DependencyKind.TIER
+    return DependencySettings(
+        kind=kind,
+        fair_concurrency=fair_concurrency,
+        averaging_span=family.number("calls_over_us", 0) * SECONDS_PER_MICROSECOND,
+        abandoned_call_span=family.number("linger_us", 0) * SECONDS_PER_MICROSECOND,
     )
 
 
-def seed(told: dict[str, Any]) -> int:
-    fields = Fields(told)
-    try:
-        return int(fields.text("seed"), 16)
-    except ValueError:
-        raise fields.bad("seed", "a hexadecimal number as a text") from None
+def _read_clients(root: FieldReader, family: FieldReader) -> ClientSettings:
+    caps = root.section("caps", optional=True)
+    max_retry_after = caps.number("max_retry_after_us", 0) * SECONDS_PER_MICROSECOND
+    return ClientSettings(
+        client_count=family.number("callers", 0),
+        signal=family.one_of("signal", SIGNAL_KINDS, "silent"),
+        signal_lifetime=family.number("heeded_us", 0) * SECONDS_PER_MICROSECOND,
+        max_retry_after=max_retry_after if caps.flag("retry_after") else 0.0,
+        marks_retries=root.section("clients", optional=True).flag("marks_retry"),
+        idle_timeout=(family.number("idle_us", 0) or DEFAULT_IDLE_TIMEOUT_US) * SECONDS_PER_MICROSECOND,
+        result_freshness=family.number("fresh_for_us", 0) * SECONDS_PER_MICROSECOND,
+        list_follows_health=family.flag("list_follows"),
+    )
 
 
-def read(path: Path) -> tuple[Station, Names, dict[str, Any]]:
-    """A start file: the station, the names that ops use, and what the decisions are handed."""
-    try:
-        told = orjson.loads(path.read_bytes())
-        fields = Fields(told)
-        profile = fields.section("settings").value
-        return station(told), names(profile), start(seed(told), profile)
-    except BadStart as error:
-        raise BadStart(f"start file {path} {error}") from None
-    except OSError as error:
-        raise BadStart(f"start file {path} cannot be read: {error.strerror}") from None
-    except orjson.JSONDecodeError as error:
-        raise BadStart(f"start file {path} is not JSON: {error}") from None
+def _available_descriptors() -> int:
+    """Descriptors that the system lets this process have."""
+    soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
+    if soft == resource.RLIM_INFINITY:
+        return DEFAULT_MAX_DESCRIPTORS
+    return min(soft, DEFAULT_MAX_DESCRIPTORS)
--- a/thymeyoke/ledger/commands.py
+++ b/thymeyoke/ledger/commands.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import getpass
+import sqlite3
 from collections.abc import Iterator
 from contextlib import contextmanager
 from pathlib import Path
@@ -40,7 +41,7 @@
         (length,) = store.execute("SELECT value FROM meta WHERE name = 'length'").fetchone()
         store.close()
         book = Book(path, length, begin=False)
-    except (BadBook, books.sqlite3.Error) as error:
+    except (BadBook, sqlite3.Error) as error:
         raise click.ClickException(
             f"{path / books.FILE}: {error}".replace(f"{path / books.FILE}: " * 2, "")
         ) from None
@@ -75,10 +76,11 @@
         return
     if not rows:
         return click.echo("nothing")
-    told = [[name.upper() for name in rows[0]], *([_cell(*pair) for pair in row.items()] for row in rows)]
-    wide = [max(map(len, column)) for column in zip(*told, strict=True)]
-    for row in told:
-        click.echo("  ".join(cell.ljust(width) for cell, width in zip(row, wide, strict=True)).rstrip())
+    header = [name.upper() for name in rows[0]]
+    table = [header, *([_cell(*pair) for pair in row.items()] for row in rows)]
+    widths = [max(map(len, column)) for column in zip(*table, strict=True)]
+    for cells in table:
+        click.echo("  ".join(cell.ljust(width) for cell, width in zip(cells, widths, strict=True)).rstrip())
 
 
 def _cell(name: str, value: Any) -> str:
@@ -180,7 +182,7 @@
         where = HostPort.parse(listen)
     except ValueError:
         raise click.UsageError(f"--listen {listen!r} can't be used; give an IP address and a port") from None
-    logs.set_up(log_level, log_form)
+    logs.configure_logging(log_level, log_form)
     try:
         anyio.run(receiver.receive, str(where.ip), where.port, path)
     except (BadBook, OSError) as error:
--- a/thymeyoke/ledger/configuration.py
+++ b/thymeyoke/ledger/configuration.py
@@ -6,7 +6,7 @@
 
 from msgspec import Meta, Struct
 
-from thymeyoke.configuration.service_config import PORT, HostPort, Raw
+from thymeyoke.configuration.service_config import HOST_PORT_DESCRIPTION, ConfigFile, HostPort
 
 ANSWERS, FULL = ("before", "after"), ("refuse", "lose")
 
@@ -32,16 +32,18 @@
 
 
 class Export(Struct, frozen=True):
-    receiver: Annotated[HostPort, Meta(description=PORT)]
+    receiver: Annotated[HostPort, Meta(description=HOST_PORT_DESCRIPTION)]
 
 
-def gather(raw: Raw) -> Ledger:
-    for section in raw.sections:
+def read_settings(file: ConfigFile) -> Ledger:
+    for section in file.sections:
         if section.startswith("ledger.") and section != "ledger.export":
-            raise raw.bad(section, None, "no such section; give [ledger.export]")
-    receiver = raw.take("ledger.export", Export).receiver if "ledger.export" in raw.sections else None
-    made = raw.take("ledger", Ledger, receiver=receiver)
+            raise file.error(section, None, "no such section; give [ledger.export]")
+    receiver = (
+        file.read_section("ledger.export", Export).receiver if "ledger.export" in file.sections else None
+    )
+    made = file.read_section("ledger", Ledger, receiver=receiver)
     for option, choices in (("answers", ANSWERS), ("full", FULL)):
         if (given := getattr(made, option)) not in choices:
-            raise raw.bad("ledger", option, f"{given!r} can't be used; give one of {', '.join(choices)}")
+            raise file.error("ledger", option, f"{given!r} can't be used; give one of {', '.join(choices)}")
     return made
--- a/thymeyoke/ledger/exporter.py
+++ b/thymeyoke/ledger/exporter.py
@@ -5,6 +5,7 @@
 
 import logging
 from collections.abc import Awaitable, Callable
+from functools import partial
 from random import Random
 from typing import Any
 
@@ -61,11 +62,11 @@
         if self.sender.why != self.said:
             self.said = self.sender.why
             level = logging.ERROR if self.sender.at == At.HALTED else logging.WARNING
-            logs.say(level, "ledger export", state=self.sender.at.value, why=self.said)
+            logs.log_event(level, "ledger_export_state_changed", state=self.sender.at.value, reason=self.said)
         if self.sender.at == At.HALTED:
-            logs.counts["ledger_export_halted"] = 1
+            logs.counters["ledger_export_halted"] = 1
         else:
-            logs.counts["ledger_export_lost"] += 1
+            logs.counters["ledger_export_lost"] += 1
 
     async def _connection(self) -> None:
         try:
@@ -106,7 +107,7 @@
         except LOST:
             self.sender.lost(clock(), "connection lost")
         except wire.BadSay as error:
-            logs.counts["ledger_export_garbled"] += 1
+            logs.counters["ledger_export_garbled"] += 1
             self.sender.lost(clock(), str(error))
         tasks.cancel_scope.cancel()
 
@@ -116,16 +117,16 @@
                 case Greet():
                     await self._say(stream, wire.Hello(self.name, self.book.mark, self.sender.last))
                 case Send(number):
-                    batch = await self.off(lambda number=number: self.book.batch(number))
+                    batch = await self.off(partial(self.book.batch, number))
                     if batch is not None:
                         self.book.step("send")
                         await self._say(stream, batch)
-                        logs.counts["ledger_batches_out"] += 1
+                        logs.counters["ledger_batches_out"] += 1
                 case Mark(number):
-                    await self.off(lambda number=number: self.book.marked(number))
-                    logs.counts["ledger_acknowledged"] = number
+                    await self.off(partial(self.book.marked, number))
+                    logs.counters["ledger_acknowledged"] = number
                 case Pin(receiver):
-                    await self.off(lambda receiver=receiver: self.book.pin(receiver))
+                    await self.off(partial(self.book.pin, receiver))
                 case Drop():
                     return
 
--- a/thymeyoke/ledger/receiver.py
+++ b/thymeyoke/ledger/receiver.py
@@ -4,7 +4,10 @@
 
 import logging
 import signal
+from collections.abc import Callable
+from functools import partial
 from pathlib import Path
+from typing import Any, TypeVar
 
 import anyio
 from anyio import to_thread
@@ -15,6 +18,7 @@
 from thymeyoke.ledger.export_store import Vault
 from thymeyoke.runtime import logs
 
+Result = TypeVar("Result")
 CHUNK = 1 << 16
 CONNECTIONS = 1024
 FIRST = 5.0  # seconds for a connection's first message; later ones may take as long as they like
@@ -31,7 +35,9 @@
     ) -> None:
         listener = await anyio.create_tcp_listener(local_host=host, local_port=port)
         where = listener.listeners[0].extra(SocketAttribute.local_port)
-        logs.say(logging.INFO, "receiving", address=f"{host}:{where}", path=self.vault.path)
+        logs.log_event(
+            logging.INFO, "ledger_receiver_listening", address=f"{host}:{where}", path=self.vault.path
+        )
         async with listener:
             task_status.started(where)
             await listener.serve(self._serve)
@@ -44,11 +50,11 @@
         except (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError, TimeoutError):
             pass
         except wire.BadSay as error:
-            logs.counts["ledger_bad_say"] += 1
-            logs.of_peer("connection closed", why=str(error))
+            logs.counters["ledger_bad_say"] += 1
+            logs.log_peer_fault("ledger_connection_closed", reason=str(error))
         except Exception as error:  # a store that can't be written: the sender comes again
-            logs.counts["ledger_receive_error"] += 1
-            logs.say(logging.ERROR, "connection ends", error)
+            logs.counters["ledger_receive_error"] += 1
+            logs.log_event(logging.ERROR, "ledger_connection_failed", error)
         finally:
             self.open -= 1
             await anyio.aclose_forcefully(stream)
@@ -63,24 +69,22 @@
                     match said:
                         case wire.Hello(name, mark, _) if not book:
                             if (refused := stranger(said)) is None:
-                                held = await self._off(
-                                    lambda mark=mark, name=name: self.vault.greet(mark, name)
-                                )
+                                held = await self._off(partial(self.vault.greet, mark, name))
                                 book = mark
                                 first.deadline = float("inf")
                             answer = refused or wire.Welcome(self.vault.mark, *held)
                         case wire.Batch() if book:
-                            answer = await self._off(lambda book=book, said=said: self.vault.take(book, said))
+                            answer = await self._off(partial(self.vault.take, book, said))
                             kind = "refused" if isinstance(answer, wire.Refused) else "taken"
-                            logs.counts[f"ledger_{kind}"] += 1
+                            logs.counters[f"ledger_{kind}"] += 1
                         case _:
                             raise wire.BadSay("a message out of turn")
                     if isinstance(answer, wire.Refused):
-                        logs.of_peer("refused", why=answer.why, book=book.hex()[:8])
+                        logs.log_peer_fault("ledger_batch_rejected", reason=answer.why, book=book.hex()[:8])
                     await stream.send(wire.encode(answer))
 
-    async def _off(self, what):  # noqa: ANN001, ANN202 (the type of what it calls)
-        return await to_thread.run_sync(what, limiter=self.limiter)
+    async def _off(self, call: Callable[[], Result]) -> Result:
+        return await to_thread.run_sync(call, limiter=self.limiter)
 
 
 async def receive(host: str, port: int, folder: Path) -> None:
@@ -95,4 +99,4 @@
             tasks.cancel_scope.cancel()
     finally:
         vault.close_file()
-    logs.say(logging.INFO, "left", **logs.counts)
+    logs.log_event(logging.INFO, "stopped", **dict[str, Any](logs.counters))
--- a/thymeyoke/ledger/usage_journal.py
+++ b/thymeyoke/ledger/usage_journal.py
@@ -209,11 +209,11 @@
         marks = ", ".join("?" * 15)
         self.store.executemany(f"INSERT INTO entries ({COLUMNS}) VALUES ({marks})", rows)
         (last,) = self.store.execute("SELECT MAX(number) FROM entries").fetchone()
-        first = last - len(rows) + 1
+        first = int(last) - len(rows) + 1
         hash_ = _hash(self.meta("group"), [(first + at, *row[1:]) for at, row in enumerate(rows)])
         self.store.execute("INSERT INTO groups VALUES (?, ?, ?)", (last, first, hash_))
         self._set(group=hash_)
-        return last
+        return int(last)
 
     def entry(self, id_: str) -> Entry | None:
         start, _, number = id_.partition(".")
@@ -224,7 +224,8 @@
         return self._entry(found) if found else None
 
     def entries(self, period: int | None = None, tenant: str | None = None) -> Iterable[Entry]:
-        where, given = ["1"], []
+        where = ["1"]
+        given: list[Any] = []
         if period is not None:
             where.append("period = ?")
             given.append(period)
@@ -402,7 +403,7 @@
             self.store.execute(f"PRAGMA {name}").fetchone()[0]
             for name in ("page_count", "freelist_count", "page_size")
         )
-        return (pages - free) * octets
+        return int((pages - free) * octets)
 
     def totals(self) -> dict[Line, Amounts]:
         """Everything that was ever entered, by line; corrections added up under theirs."""
--- a/thymeyoke/ledger/usage_recorder.py
+++ b/thymeyoke/ledger/usage_recorder.py
@@ -29,20 +29,35 @@
 from thymeyoke.ledger.usage_journal import BadBook, Book, Made
 from thymeyoke.runtime import logs
 from thymeyoke.runtime.clock import clock
-from thymeyoke.runtime.extensions import Around, Refused
-from thymeyoke.server.messages import Answer, Asker, Draining, Event, Over, Reformed, Standing, Verdict
+from thymeyoke.runtime.extensions import (
+    Answer,
+    AnswerReceiver,
+    ConfigurationChanged,
+    DrainStarted,
+    ExtensionContext,
+    HostConfigurationError,
+    RequestCompletion,
+    ServerStatus,
+    StatusQuery,
+    Verdict,
+)
 
 MOST = 20_000
 GROUP = 1000
 CLOSE_EVERY = 1.0  # seconds between looks for what may close
 RETRY, RETRY_TOP = 0.1, 5.0  # seconds after a commit that failed, doubling
-KINDS = {Verdict.ACK: Kind.ACKED, Verdict.NACK: Kind.NACKED, Verdict.FAIL: Kind.FAILED, None: Kind.GONE}
+KINDS = {
+    Verdict.SERVED: Kind.ACKED,
+    Verdict.REJECTED: Kind.NACKED,
+    Verdict.FAILED: Kind.FAILED,
+    None: Kind.GONE,
+}
 
 Found = TypeVar("Found")
 
 
 class Waiting(NamedTuple):
-    asker: Asker
+    asker: AnswerReceiver
     answer: Answer
     until: float
 
@@ -56,20 +71,23 @@
     def tell(self) -> None:
         if self.waiting is not None:
             waiting, self.waiting = self.waiting, None
-            waiting.asker.tell(waiting.answer)
+            waiting.asker.send(waiting.answer)
 
 
-class Keeper:
+class UsageRecorder:
     """Stands behind the desk while the operators' file has `[ledger]`."""
 
     name = "ledger"
-    hears_ops, stays = True, False
+    observes_requests, extends_drain = True, False
 
-    def __init__(self, told: Ledger, around: Around) -> None:
+    def __init__(self, told: Ledger, around: ExtensionContext) -> None:
         self.told, self.rng = told, Random(around.seed)
         self.who = around.name
-        self.tenants, self.types = list(around.names.tenants) or [""], list(around.names.op_types)
-        self.desk: MemoryObjectSendStream[Event] = around.desk
+        self.tenants, self.types = (
+            list(around.request_names.tenants) or [""],
+            list(around.request_names.request_classes),
+        )
+        self.desk: MemoryObjectSendStream[StatusQuery] = around.dispatcher
         self.recent = Recent()
         self.queue: deque[Pending] = deque()
         self.group: list[Pending] = []  # being committed
@@ -88,38 +106,48 @@
 
     # The seam.
 
-    def tell(self, what: Standing | Draining | Reformed) -> None:
-        if isinstance(what, Reformed):
+    def notify(self, what: ServerStatus | DrainStarted | ConfigurationChanged) -> None:
+        if isinstance(what, ConfigurationChanged):
             if what.section is None:
                 self.over = True
                 self.stirred.set()
             elif what.section != self.told:
-                logs.say(logging.WARNING, "[ledger] has changed: it takes effect at the next start")
+                logs.log_event(logging.WARNING, "ledger_change_deferred")
 
-    def takes(self) -> bool:
+    def accepts_requests(self) -> bool:
         """Whether an op may come in: with `refuse`, only while its use can be kept."""
         return self.told.full != "refuse" or not (self.too_large or len(self.queue) >= MOST // 2)
 
-    def pending(self) -> bool:
+    def has_pending_answers(self) -> bool:
         """Whether something is still on its way to the book: a drain waits for it, as long as it may."""
         return bool(self.late or self.queue or self.group)
 
-    def ended(self, op: Over) -> None:
+    def request_completed(self, op: RequestCompletion) -> None:
         """An op's end, told with its answer where it gets one. The answer is this actor's to tell."""
-        kind = Kind.REPEAT if op.repeat and op.verdict is Verdict.ACK else KINDS[op.verdict]
+        kind = Kind.REPEAT if op.is_repeat and op.verdict is Verdict.SERVED else KINDS[op.verdict]
         tenant = self.tenants[op.tenant] if op.tenant < len(self.tenants) else ""
-        use = Use(op.at, tenant, self.types[op.type], kind, op.run, op.calls, op.importance, op.octets, op.id)
-        self.recent.add(op.at, tenant, op.run)
-        waiting = Waiting(op.asker, op.answer, op.until) if op.asker and op.answer else None
+        use = Use(
+            op.at,
+            tenant,
+            self.types[op.class_index],
+            kind,
+            op.run_time,
+            op.calls,
+            op.priority_weight,
+            op.size_bytes,
+            op.id,
+        )
+        self.recent.add(op.at, tenant, op.run_time)
+        waiting = Waiting(op.client, op.answer, op.answer_by) if op.client and op.answer else None
         pending = Pending(use, waiting)
         if len(self.queue) >= MOST or (self.too_large and self.told.full == "lose"):
-            logs.counts["ledger_lost"] += 1
+            logs.counters["ledger_lost"] += 1
             return pending.tell()
         if waiting is not None:
             if kind not in (Kind.ACKED, Kind.REPEAT) or self.told.answers == "before":
                 pending.tell()  # what is given up is told at once, whatever the book does
             elif not self.running:
-                logs.counts["ledger_told_unbacked"] += 1
+                logs.counters["ledger_told_unbacked"] += 1
                 pending.tell()
             else:
                 self.order += 1
@@ -169,7 +197,7 @@
         try:
             return await self._off(lambda: Book(path, self.told.period, durable))
         except BadBook as error:
-            logs.counts["ledger_bad_book"] += 1
+            logs.counters["ledger_bad_book"] += 1
             raise RuntimeError(f"no ledger: {error}") from None
 
     async def _off(self, what: Callable[[], Found]) -> Found:
@@ -199,9 +227,9 @@
                     await self._close()
                 pause = RETRY
             except sqlite3.Error as error:  # full, or broken: the group stays and is tried again
-                logs.counts["ledger_commit_failed"] += 1
+                logs.counters["ledger_commit_failed"] += 1
                 if pause == RETRY:
-                    logs.say(logging.ERROR, "ledger not written", error)
+                    logs.log_event(logging.ERROR, "ledger_commit_failed", error)
                 await anyio.sleep(pause)
                 pause = min(RETRY_TOP, 2 * pause)
                 continue
@@ -215,8 +243,8 @@
         assert book is not None
         made = await self._off(lambda: book.append([pending.use for pending in group]))
         self.group = []
-        logs.counts["ledger_entries"] += made
-        logs.counts["ledger_groups"] += 1
+        logs.counters["ledger_entries"] += made
+        logs.counters["ledger_groups"] += 1
         for pending in group:
             pending.tell()
         while self.late and self.late[0][2].waiting is None:
@@ -232,11 +260,11 @@
             return made, folded, book.size(), book.meta("kept")
 
         made, folded, size, kept = await self._off(work)
-        logs.counts["ledger_batches"] += len(made)
-        logs.counts["ledger_folded"] += folded
+        logs.counters["ledger_batches"] += len(made)
+        logs.counters["ledger_folded"] += folded
         was, self.too_large = self.too_large, size > self.told.limit_mb << 20
         if self.too_large and not was:
-            logs.say(logging.ERROR, "ledger is full", size=size, full=self.told.full)
+            logs.log_event(logging.ERROR, "ledger_full", size=size, full=self.told.full)
         shares = self.recent.shares(clock())
         for old in [name for name in logs.gauges if name.startswith("ledger_share_")]:
             del logs.gauges[old]
@@ -252,7 +280,7 @@
             while self.late and (self.late[0][0] <= now or self.late[0][2].waiting is None):
                 pending = heappop(self.late)[2]
                 if pending.waiting is not None:
-                    logs.counts["ledger_told_unbacked"] += 1
+                    logs.counters["ledger_told_unbacked"] += 1
                     pending.tell()
             self.timed = anyio.Event()
             span = self.late[0][0] - clock() if self.late else float("inf")
@@ -260,17 +288,17 @@
                 await self.timed.wait()
 
 
-def probe(told: Ledger) -> None:
+def check_host(told: Ledger) -> None:
     """Whether this machine can carry the section out; `behind.Refused` else."""
     try:
         Book(Path(told.path), told.period, begin=False).close_file()
     except BadBook as error:
-        raise Refused(f"[ledger] path: {error}") from None
+        raise HostConfigurationError(f"[ledger] path: {error}") from None
     except (OSError, sqlite3.Error) as error:
-        raise Refused(
+        raise HostConfigurationError(
             f"[ledger] path: {told.path} can't be written ({error}); give a folder that can"
         ) from None
 
 
-def build(told: Ledger, around: Around) -> Keeper:
-    return Keeper(told, around)
+def create_extension(told: Ledger, around: ExtensionContext) -> UsageRecorder:
+    return UsageRecorder(told, around)
--- a/thymeyoke/ledger/wire.py
+++ b/thymeyoke/ledger/wire.py
@@ -72,7 +72,8 @@
         length=what.length)  # fmt: skip
     for line, amounts in what.rows:
         told.rows.add(**line._asdict(), **amounts._asdict())
-    return told.SerializeToString(deterministic=True)
+    encoded: bytes = told.SerializeToString(deterministic=True)
+    return encoded
 
 
 def read_body(data: bytes) -> Body:
@@ -102,7 +103,7 @@
 
 def encode(what: Say) -> bytes:
     name, form = FORMS[type(what)]
-    data = pb.Say(**{name: form(**what._asdict())}).SerializeToString(deterministic=True)
+    data: bytes = pb.Say(**{name: form(**what._asdict())}).SerializeToString(deterministic=True)
     assert len(data) <= MOST
     return len(data).to_bytes(4, "big") + data
 
--- a/thymeyoke/membership/configuration.py
+++ b/thymeyoke/membership/configuration.py
@@ -6,7 +6,7 @@
 
 from msgspec import Meta, Struct
 
-from thymeyoke.configuration.service_config import PORT, HostPort, Raw
+from thymeyoke.configuration.service_config import HOST_PORT_DESCRIPTION, ConfigFile, HostPort
 
 Span = Annotated[float, Meta(gt=0, le=3600, description="seconds, more than 0 and at most 3600")]
 
@@ -14,10 +14,12 @@
 class Members(Struct, frozen=True):
     """Whom this process tells of itself. Times in seconds."""
 
-    address: Annotated[HostPort, Meta(description=PORT)]
+    address: Annotated[HostPort, Meta(description=HOST_PORT_DESCRIPTION)]
     others: Annotated[tuple[HostPort, ...], Meta(max_length=1024, description=(
         "IP addresses and ports, separated by commas, as 192.0.2.9:6001, 192.0.2.10:6001"))] = ()  # fmt: skip
-    advertise: Annotated[HostPort | None, Meta(description=PORT)] = None  # where others reach it
+    advertise: Annotated[HostPort | None, Meta(description=HOST_PORT_DESCRIPTION)] = (
+        None  # where others reach it
+    )
     period: Span = 1.0
     fleet: Annotated[str, Meta(min_length=1, max_length=64, description="1 to 64 characters")] = "thymeyoke"
     key: Annotated[str, Meta(min_length=1, max_length=64, description="1 to 64 characters")] = ""
@@ -29,14 +31,14 @@
         return [f"is a member of {self.fleet!r} at {self.address}{reached}, asks first {others}"]
 
 
-def gather(raw: Raw) -> Members:
-    for section in raw.sections:
+def read_settings(file: ConfigFile) -> Members:
+    for section in file.sections:
         if section.startswith("members."):
-            raise raw.bad(section, None, "no such section; give [members] alone")
-    made = raw.take("members", Members)
+            raise file.error(section, None, "no such section; give [members] alone")
+    made = file.read_section("members", Members)
     for own in (made.address, made.advertise):
         if own in made.others:
-            raise raw.bad("members", "others", f"holds this process's own address {own}; leave it out")
+            raise file.error("members", "others", f"holds this process's own address {own}; leave it out")
     if len(set(made.others)) < len(made.others):
-        raise raw.bad("members", "others", "holds one address twice; keep one")
+        raise file.error("members", "others", "holds one address twice; keep one")
     return made
--- a/thymeyoke/membership/controller.py
+++ b/thymeyoke/membership/controller.py
@@ -281,7 +281,7 @@
             return 0.0
         straight = self.own.node and known.figures.node
         full = self.period * (STALE + len(self.known) / GOSSIPED * (1 / 2 if straight else 1))
-        weight = 0.5 ** (max(0.0, age - full) / (HALF * self.period))
+        weight = float(0.5 ** (max(0.0, age - full) / (HALF * self.period)))
         return weight / 2 if known.stand == Stand.UNSURE else weight
 
     def _said(self, now: float, said: Said, dead: set[tuple[str, int, int]]) -> Event | None:
--- a/thymeyoke/membership/extension.py
+++ b/thymeyoke/membership/extension.py
@@ -15,45 +15,53 @@
 
 from thymeyoke.membership.configuration import Members
 from thymeyoke.membership.load import Figures, serves
-from thymeyoke.membership.service import Fleet, incarnation
+from thymeyoke.membership.service import MembershipService, incarnation
 from thymeyoke.membership.view import Snapshot, State
 from thymeyoke.runtime import logs
 from thymeyoke.runtime.clock import clock
-from thymeyoke.runtime.extensions import Around, Refused
+from thymeyoke.runtime.extensions import (
+    ConfigurationChanged,
+    DrainStarted,
+    ExtensionContext,
+    HostConfigurationError,
+    ServerStatus,
+    StatusQuery,
+)
 from thymeyoke.runtime.mailbox import take_all
-from thymeyoke.server.messages import Draining, Event, Probe, Reformed, Standing
 
 LOOK = 0.25  # seconds between looks at the server
 LETTERS = 32
 
-Letter = Standing | Draining | Reformed
+Letter = ServerStatus | DrainStarted | ConfigurationChanged
 
 
-class Side:
+class MembershipExtension:
     """Stands behind the desk while the operators' file has `[members]`."""
 
     name = "members"
-    hears_ops, stays = False, False
+    observes_requests, extends_drain = False, False
 
-    def __init__(self, told: Members, around: Around) -> None:
+    def __init__(self, told: Members, around: ExtensionContext) -> None:
         self.told, self.around = told, around
-        self.desk: MemoryObjectSendStream[Event] = around.desk
+        self.desk: MemoryObjectSendStream[StatusQuery] = around.dispatcher
         self.outbox, self.letters = anyio.create_memory_object_stream[Letter](LETTERS)
         self.figures = Figures(clock())
         self.fleet = self._begun(told, State.COLD)
         self.over = self.anew = False  # the section is gone; it stands at another address
 
-    def _begun(self, told: Members, state: State) -> Fleet:
+    def _begun(self, told: Members, state: State) -> MembershipService:
         around, where = self.around, serves(*self.around.listen)
-        return Fleet(told, Snapshot(around.name, False, incarnation(), 0, state, "", where), around.seed)
+        return MembershipService(
+            told, Snapshot(around.name, False, incarnation(), 0, state, "", where), around.seed
+        )
 
     # The seam.
 
-    def tell(self, what: Letter) -> None:
+    def notify(self, what: Letter) -> None:
         try:
             self.outbox.send_nowait(what)
         except anyio.WouldBlock:
-            logs.counts["members_letters_full"] += 1
+            logs.counters["members_letters_full"] += 1
         except (anyio.BrokenResourceError, anyio.ClosedResourceError):
             pass
 
@@ -87,21 +95,21 @@
 
     def _ask(self, now: float) -> None:
         if self.figures.asked(now):
-            logs.counts["members_late_looks"] += 1
+            logs.counters["members_late_looks"] += 1
             self.figures.say(now, self.fleet.say)
         with suppress(anyio.WouldBlock, anyio.BrokenResourceError, anyio.ClosedResourceError):
-            self.desk.send_nowait(Probe(self))
+            self.desk.send_nowait(StatusQuery(self))
 
     def _hear(self, letter: Letter) -> None:
         now = clock()
         match letter:
-            case Standing():
-                self.figures.look(now, letter, logs.counts["connections"])
+            case ServerStatus():
+                self.figures.look(now, letter, logs.counters["connections_accepted"])
                 self.figures.say(now, self.fleet.say)
-            case Draining():
+            case DrainStarted():
                 self.figures.leaves()
                 self.figures.say(now, self.fleet.say)
-            case Reformed(section):
+            case ConfigurationChanged(section):
                 self._reform(section)
 
     def _reform(self, told: Members | None) -> None:
@@ -115,7 +123,7 @@
             self.fleet.reform(told)
 
 
-def probe(told: Members) -> None:
+def check_host(told: Members) -> None:
     """Whether this machine has that address; `Refused` else. The port may still be its own."""
     ip = told.address.ip
     family = socket.AF_INET if ip.version == 4 else socket.AF_INET6
@@ -123,9 +131,11 @@
         try:
             sock.bind((str(ip), 0))
         except OSError as error:
-            raise Refused(f"[members] address: this machine refuses {ip} ({error.strerror}); give one of "
-                          f"its own addresses") from None  # fmt: skip
+            raise HostConfigurationError(
+                f"[members] address: this machine refuses {ip} ({error.strerror}); give one of "
+                f"its own addresses"
+            ) from None
 
 
-def build(told: Members, around: Around) -> Side:
-    return Side(told, around)
+def create_extension(told: Members, around: ExtensionContext) -> MembershipExtension:
+    return MembershipExtension(told, around)
--- a/thymeyoke/membership/load.py
+++ b/thymeyoke/membership/load.py
@@ -10,7 +10,7 @@
 from thymeyoke.membership.view import State
 
 if TYPE_CHECKING:
-    from thymeyoke.server.messages import Standing
+    from thymeyoke.runtime.extensions import ServerStatus
 
 CALM = 2.0  # seconds over which connections opened are told as a rate
 
@@ -29,7 +29,7 @@
 
     def __init__(self, now: float) -> None:
         self.state = State.COLD
-        self.standing: Standing | None = None
+        self.standing: ServerStatus | None = None
         self.opened, self.accepted, self.at = 0.0, -1, now
         self.awaited = False  # asked, and not yet answered
 
@@ -38,14 +38,14 @@
         late, self.awaited = self.awaited, True
         return late and now > self.at
 
-    def look(self, now: float, standing: Standing, accepted: int) -> None:
+    def look(self, now: float, standing: ServerStatus, accepted: int) -> None:
         """`accepted`: connections so far, since the process began."""
         span = max(0.0, now - self.at)
         if self.accepted >= 0 and span > 0:
             rate = max(0, accepted - self.accepted) / span
             self.opened += (rate - self.opened) * (1 - exp(-span / CALM))
         self.standing, self.accepted, self.at, self.awaited = standing, accepted, now, False
-        if standing.up and now >= standing.warm_at:
+        if standing.is_ready and now >= standing.warm_at:
             self.state = max(self.state, State.SERVING)
 
     def leaves(self) -> None:
@@ -57,8 +57,12 @@
         look = self.standing
         if look is None:
             return {"state": self.state, "room": 0}
-        takes = self.state == State.SERVING and look.linked and not (self.awaited and now > self.at + CALM)
-        room = max(0, look.most - look.connections) if takes else 0
+        takes = (
+            self.state == State.SERVING
+            and look.is_processor_connected
+            and not (self.awaited and now > self.at + CALM)
+        )
+        room = max(0, look.max_connections - look.connections) if takes else 0
         return {"state": self.state, "connections": look.connections, "opened": self.opened, "room": room}
 
     def say(self, now: float, say: Callable[..., None]) -> None:
--- a/thymeyoke/membership/service.py
+++ b/thymeyoke/membership/service.py
@@ -20,10 +20,9 @@
 from thymeyoke.membership.gossip import Action, Noted, Send
 from thymeyoke.membership.transport import NODE, SERVER, Links, last_words
 from thymeyoke.membership.view import Snapshot, View
-from thymeyoke.runtime import logs
+from thymeyoke.runtime import logs, msgpack_rpc
 from thymeyoke.runtime.clock import clock
-from thymeyoke.runtime.invariants import holds
-from thymeyoke.server import routers_wire
+from thymeyoke.runtime.invariants import check_invariant
 
 TOLD = {"now_unsure": logging.INFO, "now_dead": logging.WARNING, "now_gone": logging.INFO,
         "stood_still": logging.WARNING, "refuted": logging.INFO, "conflict": logging.ERROR,
@@ -39,7 +38,7 @@
     return int(clock() * 1000)
 
 
-class Fleet:
+class MembershipService:
     """`own`: what this process says of itself at first; its address is the section's. `ears` has one entry a
     subsystem. `conflict` is one sentence once another process keeps this one's name: it is mute then.
 
@@ -81,7 +80,7 @@
 
     def hear(self, word: str, take: Take) -> None:
         """`take(name, body)` for each message of this word by a member that is there. Not `members`."""
-        holds(word != wire.WORD and 0 < len(word) <= wire.WORD_MOST, "members_word", word=word)
+        check_invariant(word != wire.WORD and 0 < len(word) <= wire.WORD_MOST, "members_word", word=word)
         self.ears[word] = take
 
     def send(self, name: str, word: str, body: bytes) -> bool:
@@ -89,10 +88,10 @@
         body is over `wire.BODY_MOST` octets. True is no promise: it may be lost with a link."""
         known = self.membership.known.get(name)
         if known is None or known.stand not in HERE or len(body) > wire.BODY_MOST or self.membership.mute:
-            logs.counts["members_words_unsent"] += 1
+            logs.counters["members_words_unsent"] += 1
             return False
         went = self.links.tell(known.figures.address, wire.notifications(word, body, self.links.badge))
-        logs.counts["members_words_out" if went else "members_words_unsent"] += 1
+        logs.counters["members_words_out" if went else "members_words_unsent"] += 1
         return went
 
     def stood(self) -> tuple[float, float]:
@@ -107,7 +106,9 @@
 
     def reform(self, told: Members) -> None:
         """The section, read anew, at the same address: what is known stays."""
-        holds(told.address == self.told.address and told.advertise == self.told.advertise, "members_address")
+        check_invariant(
+            told.address == self.told.address and told.advertise == self.told.advertise, "members_address"
+        )
         old, self.told = self.told, told
         self.membership.change(clock(), tuple(map(str, told.others)), told.period)
         if (old.fleet, old.key, old.period) != (told.fleet, told.key, told.period):
@@ -165,9 +166,9 @@
             match action:
                 case Send(to):
                     if self.links.tell(to, self._letter(action)):
-                        logs.counts["members_messages_out"] += 1
+                        logs.counters["members_messages_out"] += 1
                     else:
-                        logs.counts["members_messages_unsent"] += 1
+                        logs.counters["members_messages_unsent"] += 1
                 case Noted(what, name, why):
                     self._noted(what, name, why)
         if self.version != self.membership.version:
@@ -178,26 +179,26 @@
         return wire.notifications(wire.WORD, wire.encode(send.message), self.links.badge)
 
     def _noted(self, what: str, name: str, why: str) -> None:
-        logs.counts["members_" + what] += 1
+        logs.counters["members_" + what] += 1
         if what in TOLD:
-            logs.say(TOLD[what], "member " + what.replace("_", " "), name=name, why=why)
+            logs.log_event(TOLD[what], f"member_{what}", name=name, reason=why)
         elif what in BY_PEERS:
-            logs.of_peer("member " + what.replace("_", " "), name=name, why=why)
+            logs.log_peer_fault(f"member_{what}", name=name, reason=why)
 
     # What is heard.
 
     def _take(self, whole: wire.Whole) -> None:
-        """Of a link in; `rpc.BadFrame` closes it."""
-        logs.counts["members_messages_in"] += 1
+        """Of a link in; `InvalidFrameError` closes it."""
+        logs.counters["members_messages_in"] += 1
         if whole.word != wire.WORD:
             return self._word(whole)
         message = wire.decode(whole.body)
         if message is None:
-            logs.counts["members_later_kind"] += 1
+            logs.counters["members_later_kind"] += 1
             return
         said = message.me.snapshot
         if (said.name, said.address) != (whole.name, whole.address):
-            raise routers_wire.BadFrame("a message whose sender is not the one that it tells of")
+            raise msgpack_rpc.InvalidFrameError("a message whose sender is not the one that it tells of")
         self.membership.heard(clock(), whole.address, message)
         self._stir()
 
@@ -210,11 +211,11 @@
         known = self.membership.known.get(whole.name)
         take = self.ears.get(whole.word)
         if known is None or known.stand not in HERE or known.figures.address != whole.address:
-            logs.counts["members_from_nobody"] += 1
+            logs.counters["members_from_nobody"] += 1
         elif take is None:
-            logs.counts["members_unknown_word"] += 1
+            logs.counters["members_unknown_word"] += 1
         elif len(whole.body) > wire.BODY_MOST:
-            raise routers_wire.BadFrame("a word that is too long")
+            raise msgpack_rpc.InvalidFrameError("a word that is too long")
         else:
             self._guarded(take, whole.name, whole.body)
 
@@ -223,5 +224,5 @@
         try:
             what(*given)
         except Exception as error:
-            logs.counts["members_word_error"] += 1
-            logs.say(logging.ERROR, "member's word", error)
+            logs.counters["members_word_error"] += 1
+            logs.log_event(logging.ERROR, "member_message_failed", error)
--- a/thymeyoke/membership/transport.py
+++ b/thymeyoke/membership/transport.py
@@ -18,10 +18,9 @@
 from anyio.abc import Listener, SocketAttribute, SocketStream, TaskGroup
 
 from thymeyoke.membership import wire
-from thymeyoke.runtime import logs
+from thymeyoke.runtime import logs, msgpack_rpc
 from thymeyoke.runtime.clock import clock
 from thymeyoke.runtime.mailbox import take_all
-from thymeyoke.server import routers_wire
 
 MAILBOX = 64  # letters to a peer that are not yet written
 CONNECT, STALL = 1.0, 2.0  # periods that a connect, and a write, may take
@@ -79,7 +78,7 @@
         try:
             self.outbox.send_nowait((clock(), letter))
         except anyio.WouldBlock:
-            logs.counts["members_outbox_full"] += 1
+            logs.counters["members_outbox_full"] += 1
             self.scope.cancel()
             return False
         except (anyio.BrokenResourceError, anyio.ClosedResourceError):
@@ -102,15 +101,15 @@
             self.unreached = True
             # anyio wraps it; a connect that takes too long, or finds no way, proves nothing.
             self.refused = isinstance(error.__cause__, ConnectionRefusedError)
-            logs.counts["members_unreached"] += 1
+            logs.counters["members_unreached"] += 1
         except Exception as error:
-            logs.counts["members_error"] += 1
-            logs.say(logging.ERROR, "link to a member ends", error, peer=self.address)
+            logs.counters["members_error"] += 1
+            logs.log_event(logging.ERROR, "member_link_failed", error, peer=self.address)
         finally:
             lost = self.owed
             self.outbox.close()
             self.unsent.close()
-            logs.counts["members_letters_lost"] += lost
+            logs.counters["members_letters_lost"] += lost
             if stream is not None:
                 await anyio.aclose_forcefully(stream)
 
@@ -124,13 +123,13 @@
                     with anyio.fail_after(STALL * self.period):
                         await stream.send(b"".join(letters))
                 self.owed -= len(batch)
-                logs.counts["members_letters_lost"] += len(batch) - len(letters)
+                logs.counters["members_letters_lost"] += len(batch) - len(letters)
 
     async def _watch(self, stream: SocketStream) -> None:
         """The other side says nothing on it: whatever comes, it is over."""
         with suppress(*LOST):
             await stream.receive(1)
-            logs.counts["members_unasked"] += 1
+            logs.counters["members_unasked"] += 1
         self.scope.cancel()
 
 
@@ -160,7 +159,7 @@
         try:
             with self.scope:
                 while True:
-                    data = await self.stream.receive(routers_wire.CHUNK)
+                    data = await self.stream.receive(msgpack_rpc.READ_BYTES)
                     self.at = clock()
                     if not self.flood.take(self.at, len(data)):
                         raise wire.Foreign("floods", "it says too much")
@@ -171,15 +170,15 @@
                         take(whole)
                     if not wholes and (self.half_before or not self.said):
                         self.begun_at = before  # octet by octet is no progress
-                    self.half_before = self.reader.half()
+                    self.half_before = self.reader.is_incomplete()
         except LOST:
             pass
-        except routers_wire.BadFrame as error:
-            logs.counts["members_" + (error.what if isinstance(error, wire.Foreign) else "bad_frame")] += 1
-            logs.of_peer("link of a member closed", why=str(error))
+        except msgpack_rpc.InvalidFrameError as error:
+            logs.counters["members_" + (error.what if isinstance(error, wire.Foreign) else "bad_frame")] += 1
+            logs.log_peer_fault("member_link_closed", reason=str(error))
         except Exception as error:
-            logs.counts["members_error"] += 1
-            logs.say(logging.ERROR, "link of a member ends", error)
+            logs.counters["members_error"] += 1
+            logs.log_event(logging.ERROR, "member_link_failed", error)
         finally:
             self.reader.close()
             await anyio.aclose_forcefully(self.stream)
@@ -221,8 +220,8 @@
             except* OSError as errors:
                 if errors.subgroup(lambda error: getattr(error, "errno", None) in NO_LISTENER):
                     raise
-                logs.counts["members_accept_failed"] += 1
-                logs.of_peer("member accept failed", why=errors.exceptions[0])
+                logs.counters["members_accept_failed"] += 1
+                logs.log_peer_fault("member_accept_failed", reason=errors.exceptions[0])
             await anyio.sleep(ACCEPT_PAUSE)
 
     def tell(self, address: str, letter: bytes) -> bool:
@@ -240,7 +239,7 @@
 
     def _least_used(self) -> None:
         least = min(self.out.values(), key=lambda link: (link.owed > 0, link.used))
-        logs.counts["members_links_full"] += 1
+        logs.counters["members_links_full"] += 1
         del self.out[least.address]
         least.scope.cancel()
 
@@ -257,7 +256,7 @@
 
     async def _heard(self, stream: SocketStream) -> None:
         if len(self.into) >= self.bounds.into and not self._make_room():
-            logs.counts["members_too_many"] += 1
+            logs.counters["members_too_many"] += 1
             return await anyio.aclose_forcefully(stream)
         one = Heard(stream, wire.Reader(self.badge, self.pool), self.period)
         self.into.add(one)
@@ -271,7 +270,7 @@
         quiet = min(self.into, key=lambda one: (one.said, one.at))
         if quiet.said and clock() < quiet.at + self.period:
             return False
-        logs.counts["members_links_full"] += 1
+        logs.counters["members_links_full"] += 1
         self.into.discard(quiet)
         quiet.scope.cancel()
         return True
@@ -285,10 +284,10 @@
                 if now > link.used + IDLE * self.period and not link.owed:
                     link.scope.cancel()
             for one in list(self.into):
-                begun = one.reader.half() or not one.said
+                begun = one.reader.is_incomplete() or not one.said
                 since, span = (one.begun_at, HALF_SAID) if begun else (one.at, 2 * IDLE)
                 if now > since + span * self.period:
-                    logs.counts["members_half_said" if begun else "members_silent"] += 1
+                    logs.counters["members_half_said" if begun else "members_silent"] += 1
                     one.scope.cancel()
 
 
--- a/thymeyoke/membership/wire.py
+++ b/thymeyoke/membership/wire.py
@@ -1,4 +1,5 @@
-"""Messages of members as MessagePack-RPC notifications, through the reader and the bounds of `net/rpc.py`.
+"""Messages of members as MessagePack-RPC notifications, through the reader and the bounds of
+`runtime.msgpack_rpc`.
 
 A notification is `[2, word, [head, piece, ...]]`: the head says fleet, sender, part of how many, and where
 there is a key a MAC over all of it; the pieces, up to three, are the next octets of the message. Parts come
@@ -20,24 +21,23 @@
 import msgspec
 from msgspec import Struct
 
-from thymeyoke.configuration.start_file import Names
 from thymeyoke.membership.failure_detector import Layer, Said
 from thymeyoke.membership.gossip import Kind, Message, Rumour, Verdict
 from thymeyoke.membership.view import NAME_MOST, Load, Snapshot, State
-from thymeyoke.server import routers_wire
+from thymeyoke.runtime import msgpack_rpc
 
 VERSION = 1
 WORD = "members"  # of this package's own messages; other words belong to other subsystems
 WORD_MOST = 32
 PIECES = 3  # of a message, in one notification
-PART = PIECES * routers_wire.BODY_LIMIT
+PART = PIECES * msgpack_rpc.MAX_BODY_BYTES
 MESSAGE_MOST = 1 << 20  # octets of a message
 BODY_MOST = 8192  # octets of another subsystem's message
 POOL = 1 << 24  # octets of all messages that are not yet whole, of all links together
 MAC = 16
 
 
-class Foreign(routers_wire.BadFrame):
+class Foreign(msgpack_rpc.InvalidFrameError):
     """Whole, and not for this process. `what` is the word that counts it."""
 
     def __init__(self, what: str, why: str) -> None:
@@ -95,12 +95,13 @@
     for part in range(parts):
         mine = body[part * PART : (part + 1) * PART]
         pieces = [
-            mine[at : at + routers_wire.BODY_LIMIT] for at in range(0, len(mine), routers_wire.BODY_LIMIT)
+            mine[at : at + msgpack_rpc.MAX_BODY_BYTES]
+            for at in range(0, len(mine), msgpack_rpc.MAX_BODY_BYTES)
         ]
         head = Head(badge.fleet, badge.name, badge.address, part, parts)
         if badge.key:
             head = msgspec.structs.replace(head, mac=_mac(badge.key, word, head, pieces))
-        out.append(msgpack.packb([routers_wire.NOTICE, word, [_pack_head(head), *pieces]]))
+        out.append(msgpack.packb([msgpack_rpc.NOTIFICATION, word, [_pack_head(head), *pieces]]))
     return b"".join(out)
 
 
@@ -117,12 +118,12 @@
         return True
 
 
-class Reader(routers_wire.Reader):
-    """The messages of one link, however their bytes are cut. `feed` raises `rpc.BadFrame` for what cannot go
-    on. `body` is emptied as a message becomes whole, and by `close`."""
+class Reader(msgpack_rpc.FrameReader[Any]):
+    """The messages of one link, however their bytes are cut. `feed` raises `InvalidFrameError` for what
+    cannot go on. `body` is emptied as a message becomes whole, and by `close`."""
 
     def __init__(self, badge: Badge, pool: Pool) -> None:
-        super().__init__(Names({}, {}))
+        super().__init__()
         self.badge, self.pool = badge, pool
         self.head: Head | None = None  # of the part before, while a message is not yet whole
         self.word = ""
@@ -132,8 +133,8 @@
         """All that is whole now: `Whole` each."""
         return [one for one in super().feed(data) if one is not None]
 
-    def half(self) -> bool:
-        return super().half() or self.head is not None
+    def is_incomplete(self) -> bool:
+        return super().is_incomplete() or self.head is not None
 
     def close(self) -> None:
         self.pool.left += len(self.body)
@@ -142,17 +143,17 @@
 
     def _message(self, frame: Any) -> Any:
         match frame:
-            case [routers_wire.NOTICE, str(word), [bytes(first), *pieces]] if len(word) <= WORD_MOST and all(
-                isinstance(piece, bytes) for piece in pieces
-            ):
+            case [msgpack_rpc.NOTIFICATION, str(word), [bytes(first), *pieces]] if len(
+                word
+            ) <= WORD_MOST and all(isinstance(piece, bytes) for piece in pieces):
                 return self._part(word, first, pieces)
-        raise routers_wire.BadFrame(f"unknown message {str(frame)[:80]}")
+        raise msgpack_rpc.InvalidFrameError(f"unknown message {str(frame)[:80]}")
 
     def _part(self, word: str, first: bytes, pieces: list[bytes]) -> Whole | None:
         try:
             head = _read_head(first)
         except (msgspec.MsgspecError, ValueError) as error:
-            raise routers_wire.BadFrame(f"not a head: {error}") from None
+            raise msgpack_rpc.InvalidFrameError(f"not a head: {error}") from None
         if head.fleet != self.badge.fleet:
             raise Foreign("other_fleet", f"of the fleet {head.fleet[:NAME_MOST]!r}")
         if self.badge.key and not compare_digest(head.mac, _mac(self.badge.key, word, head, pieces)):
@@ -160,7 +161,7 @@
         self._fits(word, head)
         more = sum(map(len, pieces))
         if len(self.body) + more > MESSAGE_MOST or not self.pool.take(more):
-            raise routers_wire.BadFrame("a message that is too long")
+            raise msgpack_rpc.InvalidFrameError("a message that is too long")
         self.body += b"".join(pieces)
         if head.part < head.parts - 1:
             self.head, self.word = head, word
@@ -172,14 +173,14 @@
     def _fits(self, word: str, head: Head) -> None:
         before = self.head
         if not 0 < head.parts <= MESSAGE_MOST // PART + 1 or len(head.name) > NAME_MOST:
-            raise routers_wire.BadFrame("a head with figures that cannot be")
+            raise msgpack_rpc.InvalidFrameError("a head with figures that cannot be")
         if before is None:
             if head.part != 0:
-                raise routers_wire.BadFrame("a message without its beginning")
+                raise msgpack_rpc.InvalidFrameError("a message without its beginning")
         elif (self.word, before.name, before.address, before.parts, before.part + 1) != (
             word, head.name, head.address, head.parts, head.part
         ):  # fmt: skip
-            raise routers_wire.BadFrame("a part that does not follow")
+            raise msgpack_rpc.InvalidFrameError("a part that does not follow")
 
 
 # The body of `WORD`.
@@ -309,16 +310,16 @@
 
 
 def decode(body: bytes) -> Message | None:
-    """`rpc.BadFrame` for what is no message; None for a kind of a later version. Figures are not looked at
-    here: `bounds.fault` does that for each snapshot by itself."""
+    """`InvalidFrameError` for what is no message; None for a kind of a later version. Figures are not looked
+    at here: `bounds.fault` does that for each snapshot by itself."""
     try:
         made = _decode(body)
     except (msgspec.MsgspecError, ValueError) as error:  # ValueError: text that is not UTF-8
-        raise routers_wire.BadFrame(f"not a message: {error}") from None
+        raise msgpack_rpc.InvalidFrameError(f"not a message: {error}") from None
     if made.kind not in Kind._value2member_map_:
         return None
     if not (isfinite(made.lived) and made.lived >= 0 and len(made.about) <= NAME_MOST):
-        raise routers_wire.BadFrame("a message with figures that cannot be")
+        raise msgpack_rpc.InvalidFrameError("a message with figures that cannot be")
     return Message(
         Kind(made.kind), _in(made.me, made.version), made.lived, made.number, made.about,
         tuple(_in(one, made.version) for one in made.said), tuple(_rumours(made.rumours)),
--- a/thymeyoke/migration/configuration.py
+++ b/thymeyoke/migration/configuration.py
@@ -6,7 +6,7 @@
 
 from msgspec import Meta, Struct
 
-from thymeyoke.configuration.service_config import Raw
+from thymeyoke.configuration.service_config import ConfigFile
 from thymeyoke.membership import configuration as members
 from thymeyoke.migration import quorum
 from thymeyoke.migration.load_ranges import Terms
@@ -42,26 +42,26 @@
         ]
 
 
-def gather(raw: Raw) -> Moves:
-    for section in raw.sections:
+def read_settings(file: ConfigFile) -> Moves:
+    for section in file.sections:
         if section.startswith("moves."):
-            raise raw.bad(section, None, "no such section; give [moves] alone")
-    made = raw.take("moves", Moves, **_around(raw))
+            raise file.error(section, None, "no such section; give [moves] alone")
+    made = file.read_section("moves", Moves, **_around(file))
     if made.act not in ACTS:
-        raise raw.bad("moves", "act", f"{made.act!r} can't be used; give one of {', '.join(ACTS)}")
-    if "node" not in raw.sections:
-        raise raw.bad("moves", None, "is for a node; add a section [node]")
+        raise file.error("moves", "act", f"{made.act!r} can't be used; give one of {', '.join(ACTS)}")
+    if "node" not in file.sections:
+        raise file.error("moves", None, "is for a node; add a section [node]")
     return made
 
 
-def _around(raw: Raw) -> dict[str, float]:
+def _around(raw: ConfigFile) -> dict[str, float]:
     """How soon others hear of what a node does, and how long an address takes to come up: the shortest times
     of a move follow from these, so that no `settle` is too short for one."""
     found = {}
     if "members" in raw.sections:
-        found["period"] = members.gather(raw).period
+        found["period"] = members.read_settings(raw).period
     if "announce" in raw.sections:
-        from thymeyoke.bgp.configuration import gather as announced
+        from thymeyoke.bgp.configuration import read_settings as announced
 
         told = announced(raw)
         found["rise"] = told.settle + MINUTE / told.changes  # less preferred first; its budget may be spent
--- a/thymeyoke/migration/controller.py
+++ b/thymeyoke/migration/controller.py
@@ -9,6 +9,7 @@
 from __future__ import annotations
 
 from collections import Counter, deque
+from collections.abc import Callable
 from enum import IntEnum, StrEnum
 from functools import partial
 from hashlib import blake2b
@@ -64,7 +65,11 @@
 
 
 Action = Full | Less | Withdrawn
-ACTIONS = {Level.FULL: Full, Level.LESS: Less, Level.WITHDRAWN: Withdrawn}
+ACTIONS: dict[Level, Callable[[str], Action]] = {
+    Level.FULL: Full,
+    Level.LESS: Less,
+    Level.WITHDRAWN: Withdrawn,
+}
 
 
 class State(StrEnum):
@@ -691,7 +696,9 @@
 
     def _allowed(self) -> Allowed:
         assert self.view is not None
-        busy, still, barred = set(), set(), set()
+        busy: set[str] = set()
+        still: set[str] = set()
+        barred: set[bytes] = set()
         for name, one in self.said.items():
             if one.part.resting > one.member.age:
                 busy.add(name)
@@ -701,7 +708,7 @@
                     still.add(ask.tenant)
             barred |= wire.pairs(one.part.barred)
         same = {one.part.can: Can(one.part.can) for one in self.said.values()}  # mostly one and the same
-        takes = {name: same[one.part.can] for name, one in self.said.items()}
+        takes: dict[str, Can] = {name: same[one.part.can] for name, one in self.said.items()}
         return Allowed(takes, frozenset(busy), frozenset(still), frozenset(barred))
 
     def _why(self, step: Step) -> str:
--- a/thymeyoke/migration/planner.py
+++ b/thymeyoke/migration/planner.py
@@ -12,9 +12,9 @@
 
 from __future__ import annotations
 
-from collections.abc import Container, Iterable, Mapping
+from collections.abc import Iterable, Mapping
 from math import ceil
-from typing import NamedTuple
+from typing import NamedTuple, Protocol
 
 from thymeyoke.migration.load_ranges import NOTHING, Loads, Node, Range, Tenant, Terms, mean
 from thymeyoke.migration.wire import pair
@@ -57,11 +57,18 @@
     proved: bool = True  # that fewer can't do
 
 
+class TenantSet(Protocol):
+    """Tenants, of which only membership can be asked."""
+
+    def __contains__(self, tenant: str, /) -> bool:
+        """Whether a tenant is in the set."""
+
+
 class Allowed(NamedTuple):
     """Which moves may be thought of. `takes`: by node, the tenants that it can hold. `busy`: nodes in a move
     or resting. `still`: tenants on the way. `barred`: pairs of tenant and node, as `wire.pair` has them."""
 
-    takes: Mapping[str, Container[str]]
+    takes: Mapping[str, TenantSet]
     busy: frozenset[str] = frozenset()
     still: frozenset[str] = frozenset()
     barred: frozenset[bytes] = frozenset()
@@ -293,9 +300,9 @@
         most = len(chosen) - 1
     search = Search(given, steps)
     for many in range(bottom, most + 1):
-        found = search.within(many)
-        if found is not None:
-            return (found, 0.0), search.left > 0
+        proven = search.within(many)
+        if proven is not None:
+            return (proven, 0.0), search.left > 0
         if search.left <= 0:
             break
     return (chosen, left), left <= 0 and search.left > 0
--- a/thymeyoke/proxy/client_session.py
+++ b/thymeyoke/proxy/client_session.py
@@ -23,7 +23,7 @@
 from thymeyoke.affinity.clients import customer
 from thymeyoke.affinity.controller import JOIN, Seat, Seats, Why
 from thymeyoke.proxy import relay, session_state
-from thymeyoke.proxy.connection_admission import WAIT, Table, Waiter
+from thymeyoke.proxy.connection_admission import QUEUE_TIMEOUT_SECONDS, ConnectionTable, WaitingConnection
 from thymeyoke.proxy.listener import Service
 from thymeyoke.proxy.load import Rates
 from thymeyoke.proxy.session_state import At, Do, Event
@@ -75,7 +75,7 @@
         self.who = 0  # its customer, once it is let in
         self.at, self.server = At.SILENT, ""
         self.let_in_at = 0.0  # since when it has a place at the table; 0 without one
-        self.waiter: Waiter | None = None  # while it waits
+        self.waiter: WaitingConnection | None = None  # while it waits
         self.way: socket.socket | None = None  # to its app server, until octets pass
 
 
@@ -88,7 +88,7 @@
         poke: Callable[[], None], awake: Callable[[float], None],
     ) -> None:  # fmt: skip
         self.seats, self.loop, self.poke, self.awake = seats, loop, poke, awake
-        self.table, self.connects = Table(most), Connects(most, rng)
+        self.table, self.connects = ConnectionTable(most), Connects(most, rng)
         self.relays, self.rates = relay.Relays(loop), Rates(clock())
         self.relays.most = relay.rests_most(most)
         self.every: dict[int, Guest] = {}
@@ -101,7 +101,9 @@
         self.queue_at = float("inf")
         self.news = False  # seats may say something else now
         self.touched = False  # seats were told something since they were last settled
-        self.patience = max(WAIT, JOIN * seats.margin)  # seconds that one who was let in waits for its seat
+        self.patience = max(
+            QUEUE_TIMEOUT_SECONDS, JOIN * seats.margin
+        )  # seconds that one who was let in waits for its seat
         self.does: dict[Do, Callable[[float, Guest], None]] = {
             Do.ASK_PLACE: self._ask_place, Do.ASK_SEAT: self._ask_seat, Do.ASK_CONNECT: self._ask_connect,
             Do.ASK_NEXT: self._ask_next, Do.PASS: self._pass, Do.GIVE_BACK: self._give_back,
@@ -112,7 +114,7 @@
 
     def change(self, most: int) -> None:
         """Another size of the table."""
-        self.table.most = most
+        self.table.max_connections = most
         self.connects.change(most)
         self.relays.most = relay.rests_most(most)
         self.poke()
@@ -125,14 +127,14 @@
     def take(self, service: Service, sock: socket.socket, source: str) -> None:
         """A connection, just accepted."""
         now = clock()
-        logs.counts["node_accepted"] += 1
+        logs.counters["node_accepted"] += 1
         guest = Guest(next(self.numbered), service, sock, source)
-        waiter, pushed = self.table.come(now, service.number, guest)
+        waiter, pushed = self.table.add(now, service.number, guest)
         if pushed is not None:
-            pushed.what.waiter = None
-            self._move(now, pushed.what, Event.PUSHED)
+            pushed.connection.waiter = None
+            self._move(now, pushed.connection, Event.PUSHED)
         if waiter is None:
-            logs.counts["node_turned_away"] += 1
+            logs.counters["node_turned_away"] += 1
             return relay.reset(sock)
         guest.waiter = waiter
         self.every[guest.number] = guest
@@ -177,8 +179,10 @@
             self.poke()
 
     def _unreached(self, now: float, guest: Guest, error: int) -> None:
-        logs.counts["node_connect_failed"] += 1
-        logs.of_peer("app server not reached", server=guest.server, why=errno.errorcode.get(error, error))
+        logs.counters["node_connect_failed"] += 1
+        logs.log_peer_fault(
+            "upstream_connect_failed", server=guest.server, reason=errno.errorcode.get(error, error)
+        )
         self.connects.failed(now, guest.number)
         self._drop_way(guest)
         self._move(now, guest, Event.FAILED)
@@ -196,7 +200,7 @@
         before, step = guest.at, session_state.step(guest.at, event)
         guest.at = step.at
         if (what := COUNTED.get((before, event))) is not None:
-            logs.counts[what] += 1
+            logs.counters[what] += 1
         try:
             for do in step.out:
                 self.does[do](now, guest)
@@ -207,8 +211,8 @@
 
     def _break(self, guest: Guest, error: Exception) -> None:
         """An error that was not foreseen ends this one connection."""
-        logs.counts["node_guest_error"] += 1
-        logs.say(logging.ERROR, "connection ends", error, at=guest.at.name.lower())
+        logs.counters["node_guest_error"] += 1
+        logs.log_event(logging.ERROR, "client_session_failed", error, at=guest.at.name.lower())
         self._end(guest)
 
     def _end(self, guest: Guest) -> None:
@@ -220,7 +224,7 @@
 
     def _ask_place(self, now: float, guest: Guest) -> None:
         assert guest.waiter is not None
-        self.table.spoke(now, guest.waiter)
+        self.table.first_bytes_received(now, guest.waiter)
         self.poke()
 
     def _ask_seat(self, now: float, guest: Guest) -> None:
@@ -242,7 +246,9 @@
 
     def _seat(self, now: float, guest: Guest, seat: Seat) -> None:
         self.touched = True
-        logs.say(logging.DEBUG, "seat", customer=guest.who, server=seat.server, why=seat.why.value)
+        logs.log_event(
+            logging.DEBUG, "session_assigned", customer=guest.who, server=seat.server, reason=seat.why.value
+        )
         if seat.server:  # one that has gone since fails like one that is not reached: the next place is asked
             guest.server = seat.server
             self._move(now, guest, Event.SEATED)
@@ -256,7 +262,7 @@
 
     def _ask_connect(self, now: float, guest: Guest) -> None:
         if not self.connects.ask(now, guest.number, guest.server):
-            logs.counts["node_tries_over"] += 1
+            logs.counters["node_tries_over"] += 1
             self._move(now, guest, Event.UNSEATED)
         self.poke()
 
@@ -265,7 +271,7 @@
         self.awake(now)
         self.seats.opened(now, guest.who, guest.server)
         self._touch()
-        logs.counts["node_opened"] += 1
+        logs.counters["node_opened"] += 1
         self.rates.opened(guest.service.told.tenant)
         way, guest.way = guest.way, None
         self.relays.begin(guest.sock, way, partial(self._ended, guest))
@@ -273,7 +279,7 @@
     def _give_back(self, now: float, guest: Guest) -> None:
         if guest.let_in_at:
             guest.let_in_at = 0.0
-            self.table.give_back(guest.service.number)
+            self.table.release(guest.service.number)
 
     def _leave_seat(self, now: float, guest: Guest) -> None:
         self.seats.closed(now, guest.who, guest.server)
@@ -282,7 +288,7 @@
     def _close(self, now: float, guest: Guest) -> None:
         """Nothing of it was read, so nothing ran: its customer may go elsewhere."""
         if guest.waiter is not None:
-            self.table.drop(guest.waiter)
+            self.table.remove(guest.waiter)
             guest.waiter = None
         self.connects.gone(guest.number)
         self._drop_way(guest)
@@ -300,20 +306,20 @@
 
     def next(self, now: float) -> float:
         """The next moment at which `settle` may do something though nothing was told."""
-        moments = [self.table.next_late(), self.connects.next(now), self.queue_at]
+        moments = [self.table.next_expiry(), self.connects.next(now), self.queue_at]
         if self.asks:
             moments.append(self.asks[0][0])
         return min(moments)
 
     def settle(self, now: float) -> None:
-        for waiter in self.table.late(now):
-            guest: Guest = waiter.what
+        for waiter in self.table.expired(now):
+            guest: Guest = waiter.connection
             if guest.at is At.SILENT and self._look_in(guest):  # this process is the one that was late
                 continue
             self._move(now, guest, Event.LATE)
         self._ask_again(now)
-        while (let_in := self.table.next()) is not None:
-            guest = let_in.what
+        while (let_in := self.table.admit_next()) is not None:
+            guest = let_in.connection
             guest.waiter, guest.let_in_at = None, now
             self._move(now, guest, Event.LET_IN)
         for number in self.connects.late(now):
@@ -368,7 +374,7 @@
         except OSError as failed:
             error = failed.errno or errno.EIO
         if error in OURS:  # no app server is told of it
-            logs.counts["node_no_descriptor"] += 1
+            logs.counters["node_no_descriptor"] += 1
             return self._move(now, guest, Event.UNSEATED)
         if error not in (0, errno.EINPROGRESS):
             return self._unreached(now, guest, error)
