--- a/thymeyoke/proxy/commands.py
+++ b/thymeyoke/proxy/commands.py
@@ -9,41 +9,35 @@
 import click
 import orjson
 
-orders_option = click.option(
-    "--orders", envvar="THYMEYOKE_ORDERS", type=click.Path(path_type=Path),
-    help="The node's operators' file; else the one that THYMEYOKE_ORDERS names.",
-)  # fmt: skip
+from thymeyoke.configuration.options import service_config_option
 
 
 @click.command("node")
-@click.option(
-    "--orders", envvar="THYMEYOKE_ORDERS", required=True, type=click.Path(path_type=Path),
-    help="The node's operators' file; else the one that THYMEYOKE_ORDERS names.",
-)  # fmt: skip
+@service_config_option(required=True)
 @click.option("--log-level", default="info", type=click.Choice(["debug", "info", "warning", "error"]))
 @click.option("--log-form", default="text", type=click.Choice(["text", "json"]), help="key=value, or JSON.")
-def node(orders: Path, log_level: str, log_form: str) -> None:
+def node(service_config: Path, log_level: str, log_form: str) -> None:
     """Run one node until it is told to leave (SIGTERM): customers' connections come in at its service
     addresses, and each goes on to its app server.
 
     \b
-    Example: python -m thymeyoke node --orders examples/fleet/node-1.ini
+    Example: python -m thymeyoke node --service-config examples/fleet/node-1.ini
     """
     import anyio
 
-    from thymeyoke.configuration.service_config import BadOrders
+    from thymeyoke.configuration.service_config import ServiceConfigError
     from thymeyoke.proxy import process
     from thymeyoke.runtime import logs
-    from thymeyoke.runtime.extensions import Refused
+    from thymeyoke.runtime.extensions import HostConfigurationError
 
     try:
-        process.read(orders)  # found good before anything is begun
-        logs.set_up(log_level, log_form)
-        anyio.run(process.serve, partial(process.read, orders))
-    except BadOrders as error:
+        process.read(service_config)  # found good before anything is begun
+        logs.configure_logging(log_level, log_form)
+        anyio.run(process.serve, partial(process.read, service_config))
+    except ServiceConfigError as error:
         raise click.ClickException(str(error)) from None
-    except Refused as error:
-        raise click.ClickException(f"{orders}: {error}") from None
+    except HostConfigurationError as error:
+        raise click.ClickException(f"{service_config}: {error}") from None
 
 
 @click.group("moves")
@@ -51,40 +45,40 @@
     """Which tenant should go to another node, and how far that is."""
 
 
-def _found(control_at: Path | None, orders: Path | None) -> dict[str, Any]:
+def _found(control_at: Path | None, service_config: Path | None) -> dict[str, Any]:
     from thymeyoke.runtime import status_socket
 
     if control_at is None:
-        if orders is None:
+        if service_config is None:
             raise click.UsageError(
-                "name the node's socket with --control, or its operators' file with --orders"
+                "name the node's socket with --control, or its service configuration with --service-config"
             )
-        from thymeyoke.configuration.service_config import BadOrders, read
+        from thymeyoke.configuration.service_config import ServiceConfigError, read_service_config
 
         try:
-            section = read(orders).get("node")
-        except BadOrders as error:
+            section = read_service_config(service_config).get("node")
+        except ServiceConfigError as error:
             raise click.ClickException(str(error)) from None
         if section is None:
-            raise click.ClickException(f"{orders}: has no [node]; name the file of a node")
-        control_at = status_socket.path(section.control, f"node-{section.name}")
+            raise click.ClickException(f"{service_config}: has no [node]; name the file of a node")
+        control_at = status_socket.socket_path(section.control, f"node-{section.name}")
     try:
-        return status_socket.ask(control_at, "node")
-    except status_socket.Unanswered as error:
+        return status_socket.query_status(control_at, "node")
+    except status_socket.StatusUnavailableError as error:
         raise click.ClickException(str(error)) from None
 
 
 @moves.command()
 @click.option("--control", "control_at", type=click.Path(path_type=Path), help="The node's socket.")
-@orders_option
+@service_config_option()
 @click.option("--json", "as_json", is_flag=True, help="All of it, as JSON.")
-def show(control_at: Path | None, orders: Path | None, as_json: bool) -> None:
+def show(control_at: Path | None, service_config: Path | None, as_json: bool) -> None:
     """What the running node recommends, in which state each recommendation is, and why.
 
     \b
-    Example: python -m thymeyoke moves show --orders examples/fleet/node-1.ini
+    Example: python -m thymeyoke moves show --service-config examples/fleet/node-1.ini
     """
-    told = _found(control_at, orders)
+    told = _found(control_at, service_config)
     if as_json:
         return click.echo(orjson.dumps(told, option=orjson.OPT_INDENT_2).decode())
     if not told["moves"]:
--- a/thymeyoke/proxy/configuration.py
+++ b/thymeyoke/proxy/configuration.py
@@ -6,7 +6,7 @@
 
 from msgspec import Meta, Struct
 
-from thymeyoke.configuration.service_config import PORT, HostPort, Raw
+from thymeyoke.configuration.service_config import HOST_PORT_DESCRIPTION, ConfigFile, HostPort
 from thymeyoke.membership.limits import HOLDS_MOST
 from thymeyoke.membership.view import NAME_MOST
 
@@ -18,7 +18,7 @@
     move brings it."""
 
     tenant: str
-    address: Annotated[HostPort, Meta(description=PORT)]
+    address: Annotated[HostPort, Meta(description=HOST_PORT_DESCRIPTION)]
     standby: Annotated[bool, Meta(description="true or false")] = False
 
 
@@ -45,39 +45,39 @@
         ]  # fmt: skip
 
 
-def gather(raw: Raw) -> Node:
+def read_settings(file: ConfigFile) -> Node:
     services = []
-    for section in raw.sections:
+    for section in file.sections:
         if not section.startswith("node."):
             continue
         kind, _, tenant = section.removeprefix("node.").partition(" ")
         if kind != "service" or not tenant:
-            raise raw.bad(section, None, "no such section; give [node.service TENANT]")
+            raise file.error(section, None, "no such section; give [node.service TENANT]")
         if len(tenant) > NAME_MOST:
-            raise raw.bad(
+            raise file.error(
                 section, None, f"names a tenant of over {NAME_MOST} characters; give a shorter name"
             )
         if not tenant.isprintable():
-            raise raw.bad(
+            raise file.error(
                 section, None, f"names a tenant {tenant!r} that can't be printed; leave such characters out"
             )
-        services.append(raw.take(section, Service, tenant=tenant))
-    made = raw.take("node", Node, services=tuple(services))
+        services.append(file.read_section(section, Service, tenant=tenant))
+    made = file.read_section("node", Node, services=tuple(services))
     # What follows, and a tenant's name, is what others ask of a snapshot: one that fails is dropped whole.
     if not made.name.isprintable():
-        raise raw.bad("node", "name", f"{made.name!r} can't be printed; leave such characters out")
+        raise file.error("node", "name", f"{made.name!r} can't be printed; leave such characters out")
     if (many := sum(not one.standby for one in services)) > HOLDS_MOST:
-        raise raw.bad(
+        raise file.error(
             "node", None, f"holds {many} tenants; give at most {HOLDS_MOST} services without standby = true"
         )
-    if "members" not in raw.sections:
-        raise raw.bad("node", None, "needs to know who is there; add a section [members]")
+    if "members" not in file.sections:
+        raise file.error("node", None, "needs to know who is there; add a section [members]")
     if not services:
-        raise raw.bad("node", None, "has no service; add a section [node.service TENANT]")
+        raise file.error("node", None, "has no service; add a section [node.service TENANT]")
     where: dict[HostPort, str] = {}
     for one in services:
         if (first := where.setdefault(one.address, one.tenant)) != one.tenant:
-            raise raw.bad(
+            raise file.error(
                 f"node.service {one.tenant}", "address", f"is that of {first} as well; give each its own"
             )
     return made
--- a/thymeyoke/proxy/listener.py
+++ b/thymeyoke/proxy/listener.py
@@ -9,7 +9,7 @@
 
 from thymeyoke.proxy import configuration, relay
 from thymeyoke.runtime import logs
-from thymeyoke.runtime.extensions import Refused
+from thymeyoke.runtime.extensions import HostConfigurationError
 
 ACCEPTS = 64  # in one turn of the event loop
 ACCEPT_PAUSE = 0.05  # seconds after a failed accept
@@ -45,7 +45,7 @@
         except OSError as error:
             if door is not None:
                 door.close()
-            raise Refused(
+            raise HostConfigurationError(
                 f"[node.service {self.told.tenant}] address: {where} can't be listened on "
                 f"({error.strerror}); give a free one of this machine"
             ) from None
@@ -96,16 +96,16 @@
         except ConnectionAbortedError:
             return True
         except OSError as error:  # no descriptors
-            logs.counts["node_accept_failed"] += 1
-            logs.of_peer("accept failed", tenant=self.told.tenant, why=error)
+            logs.counters["node_accept_failed"] += 1
+            logs.log_peer_fault("accept_failed", tenant=self.told.tenant, reason=error)
             self._pause()
             return False
         try:
             accepted.setblocking(False)
             self.taken(self, accepted, source[0])
         except Exception as error:  # one connection's trouble is not the listener's
-            logs.counts["node_accept_error"] += 1
-            logs.say(logging.ERROR, "connection not taken", error, tenant=self.told.tenant)
+            logs.counters["node_accept_error"] += 1
+            logs.log_event(logging.ERROR, "accept_handler_failed", error, tenant=self.told.tenant)
             accepted.close()
         return True
 
--- a/thymeyoke/proxy/process.py
+++ b/thymeyoke/proxy/process.py
@@ -26,10 +26,10 @@
 from thymeyoke.affinity import wire as words
 from thymeyoke.affinity.controller import Handed, Ready, Seats, Tell
 from thymeyoke.configuration import service_config
-from thymeyoke.configuration.service_config import HostPort, Orders
-from thymeyoke.configuration.start_file import Address, Names
+from thymeyoke.configuration.service_config import HostPort, ServiceConfig
+from thymeyoke.configuration.start_file import Address, RequestNames
 from thymeyoke.membership.configuration import Members
-from thymeyoke.membership.service import Fleet, incarnation
+from thymeyoke.membership.service import MembershipService, incarnation
 from thymeyoke.membership.transport import NODE as LINKS
 from thymeyoke.membership.view import Member, Snapshot, State
 from thymeyoke.proxy import relay
@@ -39,8 +39,7 @@
 from thymeyoke.proxy.migration_adapter import Moving
 from thymeyoke.runtime import early_signals, extensions, logs, status_socket
 from thymeyoke.runtime.clock import clock
-from thymeyoke.runtime.extensions import Refused
-from thymeyoke.server.messages import Draining, Event, Probe, Standing
+from thymeyoke.runtime.extensions import DrainStarted, HostConfigurationError, ServerStatus, StatusQuery
 
 LOOK = 0.5  # seconds between figures that are said, at the most
 COUNTS_PERIOD = 10.0
@@ -69,29 +68,31 @@
 # The file.
 
 
-def read(path: Path) -> Orders:
+def read(path: Path) -> ServiceConfig:
     """The operators' file of a node, found good for this machine as well: `BadOrders` or `Refused` else."""
-    asked = service_config.read(path)
+    asked = service_config.read_service_config(path)
     probe(asked)
     return asked
 
 
-def probe(asked: Orders) -> None:
+def probe(asked: ServiceConfig) -> None:
     if "node" not in asked:
-        raise Refused("has no [node]; add it, or start an app server with `thymeyoke serve`")
+        raise HostConfigurationError("has no [node]; add it, or start an app server with `thymeyoke serve`")
     for name in FOR_SERVERS:
         if name in asked:
-            raise Refused(f"[{name}] is for an app server, started by `thymeyoke serve`; a node has none")
+            raise HostConfigurationError(
+                f"[{name}] is for an app server, started by `thymeyoke serve`; a node has none"
+            )
     told: Told = asked["node"]
     need, most = descriptors(told), resource.getrlimit(resource.RLIMIT_NOFILE)[1]
     if most != resource.RLIM_INFINITY and need > most:
         room = (most - descriptors(structs.replace(told, connections=0))) * 4 // 13
-        raise Refused(
+        raise HostConfigurationError(
             f"[node] connections: {told.connections} need {need} descriptors, and this process may have "
             + f"{most}; "
             + (f"give at most {room}" if room > 0 else "let it have more")
         )
-    extensions.probe(_sides(asked))
+    extensions.check_host(_sides(asked))
 
 
 def descriptors(told: Told) -> int:
@@ -101,7 +102,7 @@
     return ends + len(told.services) + SPARE_DESCRIPTORS + sum(LINKS)
 
 
-def _sides(asked: Orders) -> Orders:
+def _sides(asked: ServiceConfig) -> ServiceConfig:
     return {name: asked[name] for name in BEHIND if name in asked}
 
 
@@ -112,8 +113,10 @@
         try:
             sock.bind((str(where.ip), where.port))
         except OSError as error:
-            raise Refused(f"[members] address: {where} can't be listened on ({error.strerror}); "
-                          f"give a free one of this machine") from None  # fmt: skip
+            raise HostConfigurationError(
+                f"[members] address: {where} can't be listened on ({error.strerror}); "
+                f"give a free one of this machine"
+            ) from None
 
 
 def _shut(services: dict[str, Service]) -> None:
@@ -135,7 +138,7 @@
 class Node:
     """All of one node."""
 
-    def __init__(self, asked: Orders, seed: int) -> None:
+    def __init__(self, asked: ServiceConfig, seed: int) -> None:
         told: Told = asked["node"]
         self.told, self.asked, self.seed = told, asked, seed
         self.loop = asyncio.get_running_loop()
@@ -160,20 +163,22 @@
         own = Snapshot(
             told.name, True, incarnation(), 0, State.COLD, str(members.address), room=told.connections
         )
-        self.fleet = Fleet(members, own, seed)
+        self.fleet = MembershipService(members, own, seed)
         self.fleet.changed = self._changed
         self.fleet.hear("seats", self._heard)
-        desk, self.desk = anyio.create_memory_object_stream[Event](DESK)
-        self.around = extensions.Around(seed, desk, told.name, Names({}, {}), Address("", 0))
-        self.sides = extensions.build(_sides(asked), self.around)
+        desk, self.desk = anyio.create_memory_object_stream[StatusQuery](DESK)
+        self.around = extensions.ExtensionContext(seed, desk, told.name, RequestNames({}, {}), Address("", 0))
+        self.sides = extensions.create_extensions(_sides(asked), self.around)
 
     # The start.
 
     def open(self) -> None:
         """All that this machine could refuse, before anything is begun; `Refused` with one sentence."""
-        if status_socket.alive(self.control):
-            raise Refused(f"[node] name: another node answers at {self.control}; give each node a name of "
-                          f"its own, or its own control")  # fmt: skip
+        if status_socket.is_listening(self.control):
+            raise HostConfigurationError(
+                f"[node] name: another node answers at {self.control}; give each node a name of "
+                f"its own, or its own control"
+            )
         _listened(self.asked["members"].address)
         self._limits(self.told)
         self._serve(self._opened(self.told))
@@ -181,7 +186,7 @@
 
     @property
     def control(self) -> Path:
-        return status_socket.path(self.told.control, f"node-{self.told.name}")
+        return status_socket.socket_path(self.told.control, f"node-{self.told.name}")
 
     def _limits(self, told: Told) -> None:
         """Descriptors, as many as may be needed: listeners that are there stay until new ones are open."""
@@ -203,7 +208,7 @@
                 new[one.tenant] = Service(one, number, self.guests.take)
                 if one.address not in here:
                     new[one.tenant].open(told.connections)
-        except Refused:
+        except HostConfigurationError:
             _shut(new)
             raise
         return new
@@ -216,7 +221,9 @@
                 service.take_over(before)  # its queue as well, for another tenant perhaps
         for before in old.values():
             before.shut()
-            logs.say(logging.INFO, "service ends", tenant=before.told.tenant, address=before.told.address)
+            logs.log_event(
+                logging.INFO, "service_removed", tenant=before.told.tenant, address=before.told.address
+            )
         for service in new.values():
             service.run(self.loop)
         self.services = new
@@ -235,8 +242,8 @@
         try:
             said = words.decode(body)
         except words.BadWord as error:
-            logs.counts["node_bad_seats"] += 1
-            return logs.of_peer("seats not understood", member=sender, why=error)
+            logs.counters["node_bad_seats"] += 1
+            return logs.log_peer_fault("affinity_message_invalid", member=sender, reason=error)
         now = clock()
         self._awake(now)
         self.seats.heard(now, sender, said)
@@ -247,11 +254,11 @@
         """What stands behind asks how the node stands, as it would ask an app server: up once it knows its
         seats, linked while an app server is there, its cores never looked at."""
         async for event in self.desk:
-            if isinstance(event, Probe):
+            if isinstance(event, StatusQuery):
                 table = self.guests.table
-                event.asker.tell(Standing(
-                    self.ready, bool(self.guests.places), 0.0, None, logs.counts["node_accepted"], 0,
-                    table.many, table.most))  # fmt: skip
+                event.receiver.notify(ServerStatus(
+                    self.ready, bool(self.guests.places), 0.0, None, logs.counters["node_accepted"], 0,
+                    table.held, table.max_connections))  # fmt: skip
 
     def status(self) -> dict[str, Any]:
         """Plain values for `moves show`."""
@@ -274,8 +281,8 @@
             try:
                 self._settle(now)
             except Exception as error:
-                logs.counts["node_error"] += 1
-                logs.say(logging.ERROR, "node goes on", error)
+                logs.counters["node_error"] += 1
+                logs.log_event(logging.ERROR, "proxy_restarted", error)
                 await anyio.sleep(AGAIN)
 
     @property
@@ -332,20 +339,22 @@
             match action:
                 case Tell(to, body):
                     if not self.fleet.send(to, "seats", words.encode(body)):  # it is told again
-                        logs.counts["node_seats_unsent"] += 1
+                        logs.counters["node_seats_unsent"] += 1
                 case Ready(unanswered):
                     self.ready = True
-                    logs.say(logging.INFO, "node joined", name=self.told.name, unanswered=unanswered)
+                    logs.log_event(
+                        logging.INFO, "affinity_joined", name=self.told.name, unanswered=unanswered
+                    )
                     self._say(now)
                 case Handed(unacked):
                     self.handed = True
-                    logs.say(logging.INFO, "seats handed over", name=self.told.name, unacked=unacked)
+                    logs.log_event(logging.INFO, "affinity_handed_over", name=self.told.name, unacked=unacked)
         for name, many in self.seats.counts.items():
-            logs.counts["seats_" + name] += many
+            logs.counters["seats_" + name] += many
         self.seats.counts.clear()
         if self.seats.notes:
             for note in self.seats.notes:
-                logs.say(logging.DEBUG, note.what, **note.pairs)
+                logs.log_event(logging.DEBUG, note.what, **note.pairs)
             self.seats.notes.clear()
         self.guests.touched = False
         self.seats_at = max(now + SEATS_SOON, self.seats.next(now))
@@ -354,8 +363,8 @@
         """What moves want announced."""
         if changed := self.moving.settle(now):
             for tenant, level in changed.items():
-                logs.counts["node_levels"] += 1
-                logs.say(logging.INFO, "address of a tenant", tenant=tenant, as_=level)
+                logs.counters["node_levels"] += 1
+                logs.log_event(logging.INFO, "tenant_level_changed", tenant=tenant, as_=level)
             self._cap()
             self._say(now)
 
@@ -375,13 +384,15 @@
 
     def _say(self, now: float) -> None:
         table = self.guests.table
-        counted = {name: table.held[at] for name, at in self.tenants.items() if at in table.held}
+        counted = {
+            name: table.held_by_tenant[at] for name, at in self.tenants.items() if at in table.held_by_tenant
+        }
         figures = self.guests.rates.look(now, counted)
         state = State.LEAVING if self.leaving else State.SERVING if self.ready else State.COLD
-        room = 0 if self.leaving or self.moving.full else max(0, table.most - table.many)
+        room = 0 if self.leaving or self.moving.full else max(0, table.max_connections - table.held)
         holds, untold = self.moving.holds(), len(self.moving.untold)
         if untold and not logs.gauges.get("node_tenants_untold"):
-            logs.say(logging.WARNING, "holds more tenants than it can tell", told=len(holds), untold=untold)
+            logs.log_event(logging.WARNING, "tenants_over_limit", told=len(holds), untold=untold)
         logs.gauges["node_tenants_untold"] = untold
         self.fleet.say(
             state=state, connections=figures.connections, opened=figures.opened, room=room,
@@ -389,14 +400,14 @@
         )  # fmt: skip
 
     def tell_counts(self) -> None:
-        logs.counts.update(self.moving.counted())
+        logs.counters.update(self.moving.counted())
         logs.gauges.update(
-            node_connections=self.guests.table.many, node_waiting=self.guests.table.waiting,
+            node_connections=self.guests.table.held, node_waiting=self.guests.table.waiting,
             node_connects_out=len(self.guests.connects.out), node_octets=self.guests.relays.octets,
             node_customers=len(self.seats.open), node_exceptions=len(self.seats.kept),
             node_unshared=self.seats.unshared(), node_rests=len(self.guests.relays.rests),
         )  # fmt: skip
-        logs.say(logging.INFO, "counts", **(logs.gauges | logs.counts))
+        logs.log_event(logging.INFO, "counters", **dict[str, Any](logs.gauges | logs.counters))
 
     # What is announced.
 
@@ -427,44 +438,44 @@
 
     # The file, read anew.
 
-    def reform(self, again: Callable[[], Orders]) -> None:
+    def reform(self, again: Callable[[], ServiceConfig]) -> None:
         """All of the new file or nothing: it is found good, and its addresses are had, before anything of it
         is carried out."""
         try:
             asked = again()
             told: Told = asked["node"]
             if told.name != self.told.name:
-                raise Refused(
+                raise HostConfigurationError(
                     f"[node] name: this one runs as {self.told.name}; start another one as {told.name}"
                 )
             self._limits(told)
             services = self._opened(told)
             try:
-                sides, new = extensions.reform(self.sides, _sides(asked), self.around)
+                sides, new = extensions.reload_extensions(self.sides, _sides(asked), self.around)
             except BaseException:
                 _shut(services)
                 raise
         except Exception as error:
-            logs.counts["orders_bad"] += 1
-            return logs.say(logging.ERROR, "operators' file not taken", error)
+            logs.counters["service_config_errors"] += 1
+            return logs.log_event(logging.ERROR, "service_config_rejected", error)
         self._members(self.asked["members"], asked)
         self.asked, self.told, self.sides = asked, told, sides
         self._serve(services)
         self.guests.change(told.connections)
-        extensions.run(self.tasks, new)
+        extensions.start_extensions(self.tasks, new)
         for side in new if self.leaving else ():
-            side.tell(Draining(self.door_at))
+            side.notify(DrainStarted(self.door_at))
         self._announce(clock())
         if told.linger != self.seats.linger:
-            logs.say(logging.WARNING, "waits for the next start", section="node", option="linger")
-        logs.say(logging.INFO, "operators' file read again", services=len(services))
+            logs.log_event(logging.WARNING, "change_deferred", section="node", option="linger")
+        logs.log_event(logging.INFO, "service_config_reloaded", services=len(services))
         self.poke()
 
-    def _members(self, old: Members, asked: Orders) -> None:
+    def _members(self, old: Members, asked: ServiceConfig) -> None:
         new: Members = asked["members"]
         if (old.address, old.advertise, old.fleet) != (new.address, new.advertise, new.fleet):
             asked["members"] = old
-            logs.say(logging.WARNING, "waits for the next start", section="members")
+            logs.log_event(logging.WARNING, "change_deferred", section="members")
         elif old != new:
             self.fleet.reform(new)
 
@@ -483,9 +494,11 @@
         self._awake(now)
         self.door_at = now + max(DOOR_LEAST, DOOR_PART * self.told.linger)
         self.end_at = self.door_at + max(STAY_LEAST, self.told.linger)
-        logs.say(logging.INFO, "leaving", name=self.told.name, connections=self.guests.table.many)
+        logs.log_event(
+            logging.INFO, "graceful_shutdown_started", name=self.told.name, connections=self.guests.table.held
+        )
         for side in self.sides:
-            side.tell(Draining(self.door_at))
+            side.notify(DrainStarted(self.door_at))
         self.seats.leave(now)
         self.seats_at = now
         self._say(now)
@@ -497,12 +510,12 @@
         self.guests.close()
         for side in self.sides:
             side.close()
-        self.around.desk.close()
+        self.around.dispatcher.close()
         self.desk.close()
 
 
 async def serve(
-    again: Callable[[], Orders], seed: int | None = None,
+    again: Callable[[], ServiceConfig], seed: int | None = None,
     *, task_status: TaskStatus[Node] = anyio.TASK_STATUS_IGNORED,
 ) -> None:  # fmt: skip
     """Until it has left. `again` reads the operators' file, at the start and on SIGHUP: `BadOrders` or
@@ -512,19 +525,19 @@
     node = Node(again(), SystemRandom().getrandbits(64) if seed is None else seed)
     try:
         node.open()
-        logs.say(
-            logging.INFO, "node listens", name=node.told.name, seed=node.seed, services=len(node.services)
+        logs.log_event(
+            logging.INFO, "proxy_listening", name=node.told.name, seed=node.seed, services=len(node.services)
         )
         gc.set_threshold(*GARBAGE)
         gc.collect()
         gc.freeze()
         async with anyio.create_task_group() as node.tasks:
             ended = anyio.Event()
-            extensions.run(
+            extensions.start_extensions(
                 node.tasks, (Side("members", partial(_member, node, ended)), Side("node_desk", node.answer))
             )
-            extensions.run(node.tasks, node.sides)
-            node.tasks.start_soon(status_socket.serve, node.control, "moves", node.status)
+            extensions.start_extensions(node.tasks, node.sides)
+            node.tasks.start_soon(status_socket.serve_status, node.control, "moves", node.status)
             await node.tasks.start(_signals, node, again)
             task_status.started(node)
             await node.run()
@@ -536,8 +549,8 @@
         node.close()
     node.tell_counts()
     if node.refused:
-        raise Refused(node.refused)
-    logs.say(logging.INFO, "left", name=node.told.name)
+        raise HostConfigurationError(node.refused)
+    logs.log_event(logging.INFO, "stopped", name=node.told.name)
 
 
 async def _member(node: Node, ended: anyio.Event) -> None:
@@ -546,11 +559,14 @@
 
 
 async def _signals(
-    node: Node, again: Callable[[], Orders], *, task_status: TaskStatus[None] = anyio.TASK_STATUS_IGNORED
+    node: Node,
+    again: Callable[[], ServiceConfig],
+    *,
+    task_status: TaskStatus[None] = anyio.TASK_STATUS_IGNORED,
 ) -> None:
     """SIGTERM is the notice to leave, SIGHUP asks to read the file again, during a drain as well."""
     with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals:
-        if early_signals.let_go() is not None:
+        if early_signals.unblock() is not None:
             node.leave()
         task_status.started()
         try:
@@ -560,4 +576,4 @@
                 else:
                     node.leave()
         finally:
-            early_signals.hold_again()
+            early_signals.reblock()
--- a/thymeyoke/proxy/relay.py
+++ b/thymeyoke/proxy/relay.py
@@ -228,8 +228,8 @@
 
     def broken(self, error: Exception) -> None:
         """An error that was not foreseen ends this one relay."""
-        logs.counts["node_relay_error"] += 1
-        logs.say(logging.ERROR, "relay ends", error)
+        logs.counters["node_relay_error"] += 1
+        logs.log_event(logging.ERROR, "relay_failed", error)
         self.end(True)
 
 
@@ -271,11 +271,11 @@
             self.rests = dict.fromkeys(self.rests, now)
         for way, since in list(self.blocked.items()):
             if now >= since + STALL:
-                logs.counts["node_stalled"] += 1
+                logs.counters["node_stalled"] += 1
                 way.relay.end(True)
         for relay, since in list(self.halved.items()):
             if now >= since + HALF and relay in self.every:
-                logs.counts["node_half_open"] += 1
+                logs.counters["node_half_open"] += 1
                 relay.end(False)
         for way, since in list(self.rests.items()):
             if now >= since + REST or way.dropped >= UNHEARD:
@@ -304,7 +304,7 @@
         self.loop.remove_reader(way.source.fileno())
         if not late:
             return way.source.close()
-        logs.counts["node_rest_late"] += 1
+        logs.counters["node_rest_late"] += 1
         reset(way.source)
 
     def close(self) -> None:
--- a/thymeyoke/runtime/early_signals.py
+++ b/thymeyoke/runtime/early_signals.py
@@ -1,8 +1,8 @@
-"""Signals that come before a server can hear them.
+"""Signals that come before a process can handle them.
 
-By itself SIGHUP or SIGTERM ends a process that still imports or reads its start file: a server that failed to
-start, or left without a word; one that has left ends, on its way out, with a signal's code. Held back from
-the first line on, signals wait until their handlers stand, and wait for ever once these are gone.
+By itself SIGHUP or SIGTERM ends a process that still imports or reads its files, and one that has ended its
+work would exit with a signal's code. Blocked from the first line on, signals wait until their handlers are
+installed, and for ever once these are gone.
 """
 
 from __future__ import annotations
@@ -11,36 +11,40 @@
 from time import time
 
 SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
-NOTICES = frozenset((signal.SIGTERM, signal.SIGINT))  # to leave
+SHUTDOWN_SIGNALS = frozenset((signal.SIGTERM, signal.SIGINT))
 
-_since: float | None = None  # from when on they are held
+_blocked_since: float | None = None
 
 
-def hold() -> None:
-    global _since
-    _since = time()
+def block() -> None:
+    """Block signals from now on."""
+    global _blocked_since
+    _blocked_since = time()
     signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
 
 
-def since() -> float | None:
-    """The moment of the process's first line, in Unix seconds, where signals are held."""
-    return _since
+def blocked_since() -> float | None:
+    """The moment of the process's first line, in Unix seconds, where signals are blocked."""
+    return _blocked_since
 
 
-def noticed() -> bool:
-    """Whether a notice to leave waits."""
-    return bool(NOTICES & signal.sigpending())
+def is_shutdown_pending() -> bool:
+    """Whether a shutdown signal waits."""
+    return bool(SHUTDOWN_SIGNALS & signal.sigpending())
 
 
-def let_go() -> float | None:
-    """Let them come. Where a notice to leave waited, the earliest moment at which it can have come: when it
-    did is told nowhere, and a grace counted from now would be too long."""
-    waited = noticed()
+def unblock() -> float | None:
+    """Let signals come.
+
+    Where a shutdown signal waited, return the earliest moment at which it can have come: when it did is
+    unknown, and a grace counted from now would be too long.
+    """
+    was_pending = is_shutdown_pending()
     signal.pthread_sigmask(signal.SIG_UNBLOCK, SIGNALS)
-    return _since if waited else None
+    return _blocked_since if was_pending else None
 
 
-def hold_again() -> None:
-    """For the rest of a process that held them before."""
-    if _since is not None:
-        hold()
+def reblock() -> None:
+    """Block signals for the rest of a process that blocked them before."""
+    if _blocked_since is not None:
+        block()
--- a/thymeyoke/runtime/invariants.py
+++ b/thymeyoke/runtime/invariants.py
@@ -8,10 +8,10 @@
 from thymeyoke.runtime import logs
 
 
-def holds(true: bool, what: str, **pairs: Any) -> bool:
-    """Hands back whether it holds, for those who can carry on either way."""
-    if not true:
-        logs.counts["broken_" + what] += 1
-        logs.say(logging.ERROR, "broken", invariant=what, **pairs)
-    assert true, f"{what}: {pairs}"
-    return true
+def check_invariant(condition: bool, name: str, **fields: Any) -> bool:
+    """Return the condition, for those who can carry on either way; AssertionError in debug."""
+    if not condition:
+        logs.counters[f"invariants_violated_{name}"] += 1
+        logs.log_event(logging.ERROR, "invariant_violated", invariant=name, **fields)
+    assert condition, f"{name}: {fields}"
+    return condition
--- a/thymeyoke/runtime/logs.py
+++ b/thymeyoke/runtime/logs.py
@@ -1,4 +1,7 @@
-"""Log lines on standard error, key=value pairs or JSON, and the counters that are logged now and then."""
+"""Log lines on standard error, key=value pairs or JSON, and the counters that are logged now and then.
+
+An event is a stable name in snake_case; its fields are nouns.
+"""
 
 from __future__ import annotations
 
@@ -9,69 +12,82 @@
 
 import orjson
 
+PEER_FAULT_LINES = 20  # of faults by peers, in each span of PEER_FAULT_SECONDS; the rest are counted
+PEER_FAULT_SECONDS = 10.0
+
 logger = logging.getLogger("thymeyoke")
-counts: Counter[str] = Counter()  # of this process; its keys are words of the code, not of the input
+counters: Counter[str] = Counter()  # of this process; its keys are names of the code, not of the input
 gauges: dict[str, float] = {}  # logged with the counters
-PEER_LINES, PEER_SPAN = 20, 10.0  # what peers do wrong is told in so many lines a span, and counted besides
-_peer_lines: deque[float] = deque(maxlen=PEER_LINES)
+_peer_fault_times: deque[float] = deque(maxlen=PEER_FAULT_LINES)
 
 
 def _quoted(value: object) -> str:
     text = f"{value:.6g}" if isinstance(value, float) else str(value)
-    plain = text.isprintable() and not any(mark in text for mark in ' "=')
-    return text if text and plain else '"' + text.encode("unicode_escape").decode().replace('"', "'") + '"'
+    is_plain = text.isprintable() and not any(character in text for character in ' "=')
+    if text and is_plain:
+        return text
+    return '"' + text.encode("unicode_escape").decode().replace('"', "'") + '"'
 
 
-def _pairs(record: logging.LogRecord) -> dict[str, Any]:
-    pairs = {"at": record.created, "level": record.levelname.lower(), "what": record.getMessage()}
-    pairs |= getattr(record, "pairs", {})
+def _fields(record: logging.LogRecord) -> dict[str, Any]:
+    fields = {"at": record.created, "level": record.levelname.lower(), "event": record.getMessage()}
+    fields |= getattr(record, "fields", {})
     if record.exc_info and record.exc_info[1] is not None:
-        pairs["error"] = place(record.exc_info[1])
-    return pairs
+        fields["error"] = describe_error(record.exc_info[1])
+    return fields
+
 
+class KeyValueFormatter(logging.Formatter):
+    """One line of key=value pairs a record; texts are quoted where they need be."""
 
-class KeyValue(logging.Formatter):
     def format(self, record: logging.LogRecord) -> str:
-        pairs = _pairs(record) | {"at": f"{record.created:.3f}"}
-        return " ".join(f"{key}={_quoted(value)}" for key, value in pairs.items())
+        """The line of a record."""
+        fields = _fields(record) | {"at": f"{record.created:.3f}"}
+        return " ".join(f"{key}={_quoted(value)}" for key, value in fields.items())
 
 
-class Json(logging.Formatter):
-    """The same pairs, one JSON object a line."""
+class JsonFormatter(logging.Formatter):
+    """The same fields, one JSON object a line."""
 
     def format(self, record: logging.LogRecord) -> str:
-        return orjson.dumps(_pairs(record), default=str).decode()
+        """The line of a record."""
+        return orjson.dumps(_fields(record), default=str).decode()
 
 
-def place(error: BaseException) -> str:
-    """An exception's type, text and place, on one line."""
-    while isinstance(error, BaseExceptionGroup):  # of a task group: the first error in it tells more
+def describe_error(error: BaseException) -> str:
+    """An exception's type, place and text, on one line; of a group the first error in it."""
+    while isinstance(error, BaseExceptionGroup):
         error = error.exceptions[0]
     trace = error.__traceback__
     while trace and trace.tb_next:
         trace = trace.tb_next
-    where = f"{trace.tb_frame.f_code.co_filename.rsplit('/', 1)[-1]}:{trace.tb_lineno}" if trace else "?"
-    return f"{type(error).__name__} at {where}: {error}".replace("\n", " ")
+    location = "?"
+    if trace:
+        location = f"{trace.tb_frame.f_code.co_filename.rsplit('/', 1)[-1]}:{trace.tb_lineno}"
+    return f"{type(error).__name__} at {location}: {error}".replace("\n", " ")
 
 
-def say(level: int, what: str, error: BaseException | None = None, **pairs: Any) -> None:
+def log_event(level: int, event: str, error: BaseException | None = None, **fields: Any) -> None:
+    """Log an event."""
     if logger.isEnabledFor(level):
-        logger.log(level, what, extra={"pairs": pairs}, exc_info=error)
+        logger.log(level, event, extra={"fields": fields}, exc_info=error)
 
 
-def of_peer(what: str, **pairs: Any) -> None:
-    """Something that a peer did wrong. One that goes on doing it fills no log."""
+def log_peer_fault(event: str, **fields: Any) -> None:
+    """Log a fault by a peer, as a warning. A peer that goes on committing them fills no log."""
     now = time.monotonic()
-    if len(_peer_lines) == PEER_LINES and now < _peer_lines[0] + PEER_SPAN:
-        counts["lines_left_out"] += 1
+    is_full = len(_peer_fault_times) == PEER_FAULT_LINES
+    if is_full and now < _peer_fault_times[0] + PEER_FAULT_SECONDS:
+        counters["log_lines_dropped"] += 1
         return
-    _peer_lines.append(now)
-    say(logging.WARNING, what, **pairs)
+    _peer_fault_times.append(now)
+    log_event(logging.WARNING, event, **fields)
 
 
-def set_up(level: str, form: str = "text") -> None:
+def configure_logging(level: str, log_form: str = "text") -> None:
+    """Log to standard error, from a level on, as `text` (key=value) or `json`."""
     handler = logging.StreamHandler()
-    handler.setFormatter(Json() if form == "json" else KeyValue())
+    handler.setFormatter(JsonFormatter() if log_form == "json" else KeyValueFormatter())
     logger.addHandler(handler)
     logger.setLevel(level.upper())
     logger.propagate = False
--- a/thymeyoke/runtime/status_socket.py
+++ b/thymeyoke/runtime/status_socket.py
@@ -1,6 +1,6 @@
-"""What is told to people: a Unix socket that answers each connection with one JSON document and closes.
+"""A Unix socket that answers each connection with the process's status, one JSON document, and closes it.
 
-It goes with the process: a status file would tell of a server that is dead.
+It goes with the process: a status file would tell of a process that is dead.
 """
 
 from __future__ import annotations
@@ -19,41 +19,47 @@
 from anyio.abc import SocketStream
 
 from thymeyoke.runtime import logs
+from thymeyoke.runtime.errors import ThymeyokeError
 
-AT_ONCE = 4  # questions; the next ones are closed unanswered
-WITHIN = 1.0  # seconds that one may take
+MAX_QUERIES = 4  # at once; the next ones are closed unanswered
+QUERY_TIMEOUT_SECONDS = 1.0
+READ_BYTES = 1 << 16
+OWNER_ONLY = 0o600
 
 
-class Unanswered(Exception):
-    """Nobody answers there; the text is for people."""
+class StatusUnavailableError(ThymeyokeError):
+    """No process answers at a status socket."""
 
 
-def path(told: str | None, name: str) -> Path:
-    """Where the socket is: as told, else by its name in the folder for temporary files."""
-    return Path(told) if told else Path(tempfile.gettempdir()) / f"thymeyoke-{name}.sock"
+def socket_path(configured: str | None, name: str) -> Path:
+    """The configured path, else one by its name in the folder for temporary files."""
+    return Path(configured) if configured else Path(tempfile.gettempdir()) / f"thymeyoke-{name}.sock"
 
 
-async def serve(where: Path, name: str, status: Callable[[], dict[str, Any]]) -> None:
-    """Answer until cancelled. `name`: the command that asks, in what is logged and counted."""
+async def serve_status(path: Path, command: str, status: Callable[[], dict[str, Any]]) -> None:
+    """Answer until cancelled. `command`: the one that asks, in what is logged and counted."""
     try:
         with suppress(FileNotFoundError):
-            if where.is_socket() and not alive(where):
-                where.unlink()
-        listener = await anyio.create_unix_listener(where, mode=0o600)
+            if path.is_socket() and not is_listening(path):
+                path.unlink()
+        listener = await anyio.create_unix_listener(path, mode=OWNER_ONLY)
     except OSError as error:
-        logs.counts[f"{name}_control_failed"] += 1
-        return logs.say(logging.ERROR, f"no socket for {name} show", error, path=where)
-    busy = 0
+        logs.counters[f"{command}_status_sockets_failed"] += 1
+        return logs.log_event(logging.ERROR, "status_socket_failed", error, command=command, path=path)
+    active = 0
 
     async def answer(stream: SocketStream) -> None:
-        nonlocal busy
-        busy += 1
+        nonlocal active
+        active += 1
         try:
-            if busy <= AT_ONCE:
-                with anyio.move_on_after(WITHIN), suppress(OSError, anyio.BrokenResourceError):
+            if active <= MAX_QUERIES:
+                with (
+                    anyio.move_on_after(QUERY_TIMEOUT_SECONDS),
+                    suppress(OSError, anyio.BrokenResourceError),
+                ):
                     await stream.send(orjson.dumps(status()))
         finally:
-            busy -= 1
+            active -= 1
             await anyio.aclose_forcefully(stream)
 
     try:
@@ -61,15 +67,15 @@
             await listener.serve(answer)
     finally:
         with suppress(OSError):
-            os.unlink(where)
+            os.unlink(path)
 
 
-def alive(where: Path) -> bool:
-    """Whether somebody may listen there: a killed process leaves its socket's file behind."""
+def is_listening(path: Path) -> bool:
+    """Whether a process may listen there: a killed one leaves its socket's file behind."""
     with socket.socket(socket.AF_UNIX) as probe:
-        probe.settimeout(WITHIN)
+        probe.settimeout(QUERY_TIMEOUT_SECONDS)
         try:
-            probe.connect(str(where))
+            probe.connect(str(path))
         except (ConnectionRefusedError, FileNotFoundError):
             return False
         except OSError:
@@ -77,19 +83,20 @@
     return True
 
 
-def ask(where: Path, whom: str) -> dict[str, Any]:
-    """The running process's status, or `Unanswered`. `whom`: who should be there, for people."""
-    found = b""
-    with socket.socket(socket.AF_UNIX) as sock:
-        sock.settimeout(2 * WITHIN)
+def query_status(path: Path, process_kind: str) -> dict[str, Any]:
+    """The running process's status, or `StatusUnavailableError`. `process_kind`: what should listen there."""
+    answer = b""
+    with socket.socket(socket.AF_UNIX) as client:
+        client.settimeout(2 * QUERY_TIMEOUT_SECONDS)
         try:
-            sock.connect(str(where))
-            while data := sock.recv(1 << 16):
-                found += data
-            return orjson.loads(found)
+            client.connect(str(path))
+            while data := client.recv(READ_BYTES):
+                answer += data
+            status: dict[str, Any] = orjson.loads(answer)
+            return status
         except (OSError, orjson.JSONDecodeError) as error:
-            what = getattr(error, "strerror", None) or "no whole answer"
-            raise Unanswered(
-                f"no {whom} answers at {where} ({what}); name its socket with --control, "
-                f"or the operators' file with --orders"
+            reason = getattr(error, "strerror", None) or "no complete answer"
+            raise StatusUnavailableError(
+                f"no {process_kind} answers at {path} ({reason}); name its socket with --control, "
+                f"or the service configuration with --service-config"
             ) from None
--- a/thymeyoke/server/endpoint_registry.py
+++ b/thymeyoke/server/endpoint_registry.py
@@ -1,6 +1,6 @@
-"""Reports to the list by which routers find this server: HTTP over one kept connection.
+"""The client of the endpoint registry, by which routers find this server.
 
-When they go out is decided in `coldstart/`.
+It sends HTTP reports over one persistent connection. When they go out is decided in `slow_start`.
 """
 
 from __future__ import annotations
@@ -17,131 +17,150 @@
 from thymeyoke.configuration.start_file import Address
 from thymeyoke.runtime import logs
 from thymeyoke.runtime.clock import clock
-from thymeyoke.server.messages import Move, Report
-from thymeyoke.slow_start.controller import ColdStart
-from thymeyoke.slow_start.heartbeat import PATIENCE, SPAN
+from thymeyoke.runtime.errors import ThymeyokeError
+from thymeyoke.server.messages import AddressChanged, HealthChanged
+from thymeyoke.slow_start import heartbeat
+from thymeyoke.slow_start.controller import StartupController
 
-PERIOD = SPAN  # seconds between reports
-TIMEOUT = PATIENCE
-CHUNK = 1 << 12
+REPORT_PERIOD_SECONDS = heartbeat.INTERVAL_SECONDS
+REPORT_TIMEOUT_SECONDS = heartbeat.REPORT_TIMEOUT_SECONDS
+OUTBOX_SIZE = 4
+READ_BYTES = 1 << 12
+ACCEPTED_STATUS = 204
 
 
-def worked() -> float:
-    """Processor seconds of this process; where a system does not tell them, so many that nothing waits."""
+def processor_seconds() -> float:
+    """Processor seconds of this process; where the system does not tell them, so many that nothing waits."""
     try:
         return process_time()
     except OSError:
         return float("inf")
 
 
-class BadReport(Exception):
-    """A report that was not taken."""
+class ReportRejectedError(ThymeyokeError):
+    """The registry did not accept a report."""
 
 
-class Roster:
-    """Reports about once a second. A list that is away disturbs nothing else."""
+FAILURES = (
+    OSError,
+    TimeoutError,
+    anyio.EndOfStream,
+    anyio.BrokenResourceError,
+    anyio.ClosedResourceError,
+    h11.ProtocolError,
+    ReportRejectedError,
+)
 
-    def __init__(self, where: Address, name: str, cold: ColdStart | None = None) -> None:
-        self.where, self.path = where, f"/ns/hosts/{quote(name, safe='')}"
-        self.fit = self.reported_fit = True
-        self.outbox, self.unsent = anyio.create_memory_object_stream[Report | Move](4)
+
+class EndpointRegistryClient:
+    """Reports this server's health about once a second. A registry that is away disturbs nothing else."""
+
+    def __init__(self, address: Address, name: str, startup: StartupController | None = None) -> None:
+        """`name`: of the server, in the registry."""
+        self.address, self.path = address, f"/ns/hosts/{quote(name, safe='')}"
+        self.is_healthy = self.reported_health = True
+        self.outbox, self.outbox_reader = anyio.create_memory_object_stream[HealthChanged | AddressChanged](
+            OUTBOX_SIZE
+        )
         self.stream: ByteStream | None = None
-        self.connected_to = where
+        self.connected_address = address
         self.http = h11.Connection(h11.CLIENT)
-        self.cold = cold or ColdStart(clock())
-        self.beat = self.cold.beats(clock(), PERIOD, TIMEOUT)
-        self.said = self.cold.state
-
-    def tell(self, what: Report | Move) -> None:
-        """It holds at once, and the mailbox only wakes the actor: while a report hung, several reloads once
-        filled it, and the last address was never reported to."""
-        if isinstance(what, Move):
-            self.where = what.where
+        self.startup = startup or StartupController(clock())
+        self.heartbeat = self.startup.new_heartbeat(clock(), REPORT_PERIOD_SECONDS, REPORT_TIMEOUT_SECONDS)
+        self.logged_state = self.startup.state
+
+    def send(self, message: HealthChanged | AddressChanged) -> None:
+        """Apply a change at once; the mailbox only wakes the actor, and may be full while a report hangs."""
+        if isinstance(message, AddressChanged):
+            self.address = message.address
         else:
-            self.fit = what.fit
+            self.is_healthy = message.is_healthy
         try:
-            self.outbox.send_nowait(what)
+            self.outbox.send_nowait(message)
         except anyio.WouldBlock:
-            logs.counts["roster_outbox_full"] += 1
+            logs.counters["registry_outboxes_full"] += 1
 
     async def run(self) -> None:
+        """Report until cancelled."""
         try:
             await self._run()
         finally:
             await self._close()
 
     async def _run(self) -> None:
-        self.cold.begin(clock(), worked())
+        self.startup.begin(clock(), processor_seconds())
         while True:
-            if self.cold.goes(clock()):
-                await self._try()
-                self._tell_state()
+            if self.startup.should_report(clock()):
+                await self._attempt_report()
+                self._log_state()
                 continue
-            with anyio.move_on_after(max(0.0, self.beat.moment - clock())) as wait:
-                self._heard(await self.unsent.receive())
-            if wait.cancelled_caught and clock() < self.beat.moment:  # it stands still: it never steps back
-                self.beat.at_once(clock())
+            with anyio.move_on_after(max(0.0, self.heartbeat.wake_at - clock())) as wait:
+                self._handle(await self.outbox_reader.receive())
+            if wait.cancelled_caught and clock() < self.heartbeat.wake_at:  # our clock stands still
+                self.heartbeat.send_now(clock())
 
-    async def _try(self) -> None:
-        """One report, and what came of it."""
+    async def _attempt_report(self) -> None:
+        """Send one report, and account for what came of it."""
         now = clock()
-        given_up = self.cold.sent(now)
+        given_up_at = self.startup.report_sent(now)
         try:
-            with anyio.fail_after(given_up - now):
-                await self._report()
-            logs.counts["reports"] += 1
-            self.cold.listed(clock())
-        except (OSError, TimeoutError, anyio.EndOfStream, anyio.BrokenResourceError,
-                anyio.ClosedResourceError, h11.ProtocolError, BadReport) as error:  # fmt: skip
-            if logs.counts["reports_failed"] == 0:
-                logs.say(logging.WARNING, "report failed", error)
-            logs.counts["reports_failed"] += 1
-            self.cold.unheard(clock())
+            with anyio.fail_after(given_up_at - now):
+                await self._send_report()
+            logs.counters["reports_accepted"] += 1
+            self.startup.report_accepted(clock())
+        except FAILURES as error:
+            if logs.counters["reports_failed"] == 0:
+                logs.log_event(logging.WARNING, "report_failed", error)
+            logs.counters["reports_failed"] += 1
+            self.startup.report_failed(clock())
             await self._close()
 
-    def _tell_state(self) -> None:
-        if self.said is not self.cold.state:
-            self.said = self.cold.state
-            logs.say(logging.INFO, "cold start", state=self.said.value)
+    def _log_state(self) -> None:
+        if self.logged_state is not self.startup.state:
+            self.logged_state = self.startup.state
+            logs.log_event(logging.INFO, "startup_state_changed", state=self.logged_state.value)
 
-    def _heard(self, what: Report | Move) -> None:
-        """What is new is said at once: whether it is fit, or where it is said."""
-        if isinstance(what, Move) or self.fit != self.reported_fit:
-            self.beat.at_once(clock())
+    def _handle(self, message: HealthChanged | AddressChanged) -> None:
+        """What is new is reported at once: another health, or another registry."""
+        if isinstance(message, AddressChanged) or self.is_healthy != self.reported_health:
+            self.heartbeat.send_now(clock())
 
     async def _close(self) -> None:
         if self.stream:
             stream, self.stream = self.stream, None
             await anyio.aclose_forcefully(stream)
 
-    async def _report(self) -> None:
-        if self.connected_to != self.where:
+    async def _send_report(self) -> None:
+        if self.connected_address != self.address:
             await self._close()
         if self.stream is None:
-            self.connected_to = self.where
-            self.stream = await anyio.connect_tcp(self.where.host, self.where.port)
+            self.connected_address = self.address
+            self.stream = await anyio.connect_tcp(self.address.host, self.address.port)
             self.http = h11.Connection(h11.CLIENT)
-        self.reported_fit = self.fit
-        body = orjson.dumps({"serving": "yes" if self.fit else "no"})
-        headers = [("Host", str(self.where)), ("Content-Length", str(len(body)))]
-        ask = h11.Request(method="PUT", target=self.path, headers=headers)
-        parts = [self.http.send(part) for part in (ask, h11.Data(data=body), h11.EndOfMessage())]
-        await self.stream.send(b"".join(part or b"" for part in parts))
-        status = await self._status(self.stream)
+        self.reported_health = self.is_healthy
+        await self.stream.send(self._request())
+        status = await self._read_status(self.stream)
         if self.http.our_state is h11.DONE and self.http.their_state is h11.DONE:
             self.http.start_next_cycle()
         else:
             await self._close()
-        if status != 204:
-            raise BadReport(f"status {status}")
+        if status != ACCEPTED_STATUS:
+            raise ReportRejectedError(f"status {status}")
+
+    def _request(self) -> bytes:
+        body = orjson.dumps({"serving": "yes" if self.is_healthy else "no"})
+        headers = [("Host", str(self.address)), ("Content-Length", str(len(body)))]
+        request = h11.Request(method="PUT", target=self.path, headers=headers)
+        parts = [self.http.send(part) for part in (request, h11.Data(data=body), h11.EndOfMessage())]
+        return b"".join(part or b"" for part in parts)
 
-    async def _status(self, stream: ByteStream) -> int:
+    async def _read_status(self, stream: ByteStream) -> int:
         status = 0
         while True:
             event = self.http.next_event()
             if event is h11.NEED_DATA:
                 try:
-                    self.http.receive_data(await stream.receive(CHUNK))
+                    self.http.receive_data(await stream.receive(READ_BYTES))
                 except anyio.EndOfStream:
                     self.http.receive_data(b"")
             elif isinstance(event, h11.Response):
@@ -149,4 +168,4 @@
             elif isinstance(event, h11.EndOfMessage):
                 return status
             elif isinstance(event, h11.ConnectionClosed):
-                raise BadReport("closed without an answer")
+                raise ReportRejectedError("closed without an answer")
--- a/thymeyoke/server/idempotency.py
+++ b/thymeyoke/server/idempotency.py
@@ -1,123 +1,141 @@
-"""Ops whose keys are retained, their results, and the repeats that wait for one."""
+"""Retained requests, their results, and the repeats that wait for one."""
 
 from __future__ import annotations
 
 import math
 from collections import OrderedDict
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 from thymeyoke.runtime import logs
 
-Key = tuple[int, str]  # an op type and what marks its repeats
+PURGE_PERIOD_SECONDS = 1.0
+
+IdempotencyKey = tuple[int, str]  # a request class, and what all attempts of a request have in common
 
 
 class Result(NamedTuple):
-    body: bytes | None  # None where the op failed or never ran
-    at: float
+    """What came of a retained request."""
+
+    body: bytes | None  # None where it failed or never ran
+    completed_at: float
 
 
-class Kept:
-    """A retained op. A repeat finds it while it lives, by when the repeat reached the machine."""
+class RetainedRequest:
+    """A retained request. A repeat finds it while it lives, by when the repeat reached the machine."""
 
-    def __init__(self, id: str, key: Key, end: float, fresh: float, mark: int) -> None:
-        self.id, self.key, self.end, self.fresh = id, key, end, fresh
-        self.mark = mark  # of its body, which all its tries carry
+    def __init__(
+        self, id: str, key: IdempotencyKey, expires_at: float, freshness: float, body_hash: int
+    ) -> None:
+        """`freshness`: seconds that its result may answer others; 0: until it expires."""
+        self.id, self.key = id, key
+        self.expires_at, self.freshness = expires_at, freshness
+        self.body_hash = body_hash  # all attempts of one request carry the same body
         self.result: Result | None = None
-        self.waiting: list[str] = []  # emptied by the result
-        self.older: str | None = None  # the request whose key this one took over
+        self.waiting_ids: list[str] = []  # emptied by the result
+        self.previous_id: str | None = None  # the request whose key this one took over
 
-    def names(self, reached: float) -> bool:
-        """Whether a repeat that reached the machine then is one of this op's."""
-        if reached > self.end:
+    def answers(self, reached_at: float) -> bool:
+        """Whether a repeat that reached the machine then may get its result."""
+        if reached_at > self.expires_at:
             return False
-        done = self.result
-        return not self.fresh or done is None or (done.body is not None and reached <= done.at + self.fresh)
+        result = self.result
+        if not self.freshness or result is None:
+            return True
+        return result.body is not None and reached_at <= result.completed_at + self.freshness
 
 
-class Keys:
-    """`by_key` and `by_id` are emptied by `purge` as spans pass, and by `forget`.
+class IdempotencyCache:
+    """Retained requests; `by_key` and `by_id` are emptied by `purge` as they expire, and by `release`.
 
-    Entries outlive their span by `unread`, the longest that an op can wait to be read: a repeat counts by
-    when it reached the machine. Results take `most_bytes` in all; past that the bodies of the oldest go and
-    their keys stay: their repeats fail, and none is run.
+    Entries outlive their expiry by `max_queueing_delay`, the longest that a request can wait to be read: a
+    repeat counts by when it reached the machine. Results take `max_bytes` in all; past that the bodies of the
+    oldest go and their keys stay: their repeats fail, and none is run.
     """
 
-    def __init__(self, unread: float, most_bytes: float = math.inf) -> None:
-        self.unread, self.next_purge = unread, 0.0
-        self.most_bytes, self.bytes = most_bytes, 0
-        self.with_body: OrderedDict[str, None] = OrderedDict()  # by when the results came
-        self.by_key: dict[Key, Kept] = {}
-        self.by_id: dict[str, Kept] = {}
-
-    def find(self, key: Key, reached: float) -> str | None:
-        """A newer request names all tries that its older ones would: they get its result."""
-        kept = self.by_key.get(key)
-        return kept.id if kept and kept.names(reached) else None
-
-    def keep(self, id: str, key: Key, end: float, fresh: float = 0.0, mark: int = 0) -> None:
-        """Retain an op, or renew it; a newer op takes its key over."""
-        if kept := self.by_id.get(id):
-            kept.end = end
+    def __init__(self, max_queueing_delay: float, max_bytes: float = math.inf) -> None:
+        """Seconds, and bytes."""
+        self.max_queueing_delay, self.next_purge_at = max_queueing_delay, 0.0
+        self.max_bytes, self.size_bytes = max_bytes, 0
+        self.ids_with_body: OrderedDict[str, None] = OrderedDict()  # by when the results came
+        self.by_key: dict[IdempotencyKey, RetainedRequest] = {}
+        self.by_id: dict[str, RetainedRequest] = {}
+
+    def find(self, key: IdempotencyKey, reached_at: float) -> str | None:
+        """The request whose result answers a repeat with this key; the newest one stands for older ones."""
+        retained = self.by_key.get(key)
+        return retained.id if retained and retained.answers(reached_at) else None
+
+    def retain(
+        self, id: str, key: IdempotencyKey, expires_at: float, freshness: float = 0.0, body_hash: int = 0
+    ) -> None:
+        """Retain a request, or renew it; a newer request takes its key over."""
+        if retained := self.by_id.get(id):
+            retained.expires_at = expires_at
             return
-        kept = Kept(id, key, end, fresh, mark)
-        if older := self.by_key.get(key):
-            kept.older = older.id
-        self.by_key[key] = self.by_id[id] = kept
-
-    def forget(self, id: str) -> list[str]:
-        """Drop an op's entry; hands back the repeats that waited for it."""
-        kept = self.by_id.pop(id, None)
-        if kept is None:
+        retained = RetainedRequest(id, key, expires_at, freshness, body_hash)
+        if previous := self.by_key.get(key):
+            retained.previous_id = previous.id
+        self.by_key[key] = self.by_id[id] = retained
+
+    def release(self, id: str) -> list[str]:
+        """Drop a request's entry; the repeats that waited for it."""
+        retained = self.by_id.pop(id, None)
+        if retained is None:
             return []
-        self._drop_body(kept)
-        if self.by_key.get(kept.key) is kept:
-            self._hand_back(kept)
-        return kept.waiting
-
-    def _hand_back(self, kept: Kept) -> None:
-        """The key of a request that is dropped goes back to the one before it: a late-read try of that one is
-        still none to be run."""
-        older = self.by_id.get(kept.older) if kept.older else None
-        if older is not None and older.key == kept.key:
-            self.by_key[kept.key] = older
+        self._drop_body(retained)
+        if self.by_key.get(retained.key) is retained:
+            self._restore_previous(retained)
+        return retained.waiting_ids
+
+    def _restore_previous(self, retained: RetainedRequest) -> None:
+        """Give the key of a request that is dropped back to the one before it.
+
+        A retry of that one that is read late must still not run.
+        """
+        previous = self.by_id.get(retained.previous_id) if retained.previous_id else None
+        if previous is not None and previous.key == retained.key:
+            self.by_key[retained.key] = previous
         else:
-            del self.by_key[kept.key]
+            del self.by_key[retained.key]
 
-    def over(self, id: str, result: Result) -> list[str]:
-        """An op's run is over; hands back the repeats that waited for it."""
-        kept = self.by_id.get(id)
-        if kept is None:
+    def complete(self, id: str, result: Result) -> list[str]:
+        """A request's run is over; the repeats that waited for its result."""
+        retained = self.by_id.get(id)
+        if retained is None:
             return []
-        kept.result, waiting, kept.waiting = result, kept.waiting, []
+        waiting_ids, retained.waiting_ids = retained.waiting_ids, []
+        retained.result = result
         if result.body:
-            self.with_body[id] = None
-            self.bytes += len(result.body)
-        while self.bytes > self.most_bytes:
-            logs.counts["results_dropped"] += 1
-            self._drop_body(self.by_id[next(iter(self.with_body))])
-        return waiting
-
-    def _drop_body(self, kept: Kept) -> None:
-        if kept.id in self.with_body and kept.result and kept.result.body:
-            del self.with_body[kept.id]
-            self.bytes -= len(kept.result.body)
-            kept.result = kept.result._replace(body=None)
-
-    def repeat(self, id: str, of: Any) -> Result | None:
-        """The result for a repeat, or None where it has to wait. Of an op that is unknown nothing came."""
-        kept = self.by_id.get(of)
-        if kept is None:
+            self.ids_with_body[id] = None
+            self.size_bytes += len(result.body)
+        while self.size_bytes > self.max_bytes:
+            logs.counters["results_dropped"] += 1
+            self._drop_body(self.by_id[next(iter(self.ids_with_body))])
+        return waiting_ids
+
+    def _drop_body(self, retained: RetainedRequest) -> None:
+        if retained.id in self.ids_with_body and retained.result and retained.result.body:
+            del self.ids_with_body[retained.id]
+            self.size_bytes -= len(retained.result.body)
+            retained.result = retained.result._replace(body=None)
+
+    def result_for(self, id: str, original_id: str | None) -> Result | None:
+        """The result for a repeat, or None where it has to wait; of an unknown request nothing came."""
+        retained = self.by_id.get(original_id) if original_id is not None else None
+        if retained is None:
             return Result(None, 0.0)
-        if kept.result is None:
-            kept.waiting.append(id)
-        return kept.result
+        if retained.result is None:
+            retained.waiting_ids.append(id)
+        return retained.result
 
     def purge(self, now: float) -> None:
-        if now < self.next_purge:
+        """Drop what has expired; what has no result yet is in flight, and goes later."""
+        if now < self.next_purge_at:
             return
-        self.next_purge = now + 1.0
-        for kept in [kept for kept in self.by_id.values() if kept.end + self.unread < now]:
-            if kept.result is not None:  # one without is in hand, and goes later
-                self.forget(kept.id)
-            elif self.by_key.get(kept.key) is kept:
-                del self.by_key[kept.key]
+        self.next_purge_at = now + PURGE_PERIOD_SECONDS
+        expired = [one for one in self.by_id.values() if one.expires_at + self.max_queueing_delay < now]
+        for retained in expired:
+            if retained.result is not None:
+                self.release(retained.id)
+            elif self.by_key.get(retained.key) is retained:
+                del self.by_key[retained.key]
--- a/thymeyoke/server/lifecycle.py
+++ b/thymeyoke/server/lifecycle.py
@@ -1,4 +1,4 @@
-"""One app server: its actors, put together and run until it has left."""
+"""One app server: its actors, put together and run until its drain is over."""
 
 from __future__ import annotations
 
@@ -12,174 +12,222 @@
 from typing import Any
 
 import anyio
-from anyio.abc import TaskStatus
+from anyio.abc import TaskGroup, TaskStatus
 
-from thymeyoke.configuration.start_file import Address, BadStart, Names, Station
+from thymeyoke.configuration.fields import StartFileError
+from thymeyoke.configuration.start_file import Address, ServerSettings, StartFile
 from thymeyoke.runtime import early_signals, extensions, logs
 from thymeyoke.runtime.clock import clock
+from thymeyoke.runtime.extensions import ServiceConfig
 from thymeyoke.runtime.mailbox import post
-from thymeyoke.server.dependency import Database
-from thymeyoke.server.dispatcher import Desk
-from thymeyoke.server.endpoint_registry import Roster
-from thymeyoke.server.listener import Front
-from thymeyoke.server.messages import Leave, Move
-from thymeyoke.server.processor import Processor
-from thymeyoke.slow_start.controller import ColdStart
-from thymeyoke.slow_start.rate_limiter import terms
-
-GARBAGE = (10000, 10, 10)  # ops leave next to no cycles behind: looking for them cost more than it freed
-RESULTS_SHARE = 1 / 4  # of the process's memory: what retained results may take, beside all else in it
-FLUSH = 0.05  # seconds that last answers may take to be written, at the end
-AGAIN = 0.1  # seconds until an actor that failed starts again
-LISTEN_RETRY = 0.05  # seconds between tries to bind an address that is in use
-KILLED_WITHIN = 1.0  # seconds past its stop until a killed predecessor is gone, with its listener
-# What asyncio sets aside for a read, 256 KiB by itself. What stays alive behind such a piece leaves gaps that
-# the next one does not fit in, and the heap grows for as long as the server runs.
-selector_events._SelectorTransport.max_size = 1 << 14  # type: ignore[attr-defined]
+from thymeyoke.server.dependency import DependencyClient
+from thymeyoke.server.dispatcher import Dispatcher
+from thymeyoke.server.endpoint_registry import EndpointRegistryClient
+from thymeyoke.server.listener import Listener
+from thymeyoke.server.messages import AddressChanged, ShutdownRequested
+from thymeyoke.server.processor import ProcessorClient
+from thymeyoke.slow_start.controller import StartupController
+from thymeyoke.slow_start.rate_limiter import rate_limits
+
+GC_THRESHOLDS = (10000, 10, 10)  # requests leave next to no cycles behind
+RESULTS_MEMORY_SHARE = 1 / 4  # of the process's memory: what retained results may take
+FLUSH_SECONDS = 0.05  # that last answers may take to be written
+RESTART_BACKOFF_SECONDS = 0.1  # until an actor that failed starts again
+LISTEN_RETRY_SECONDS = 0.05  # between attempts to bind an address that is in use
+PREDECESSOR_EXIT_SECONDS = 1.0  # past its stop until a killed predecessor is gone, with its listener
+# What asyncio allocates for a read. Whatever stays alive behind a larger piece leaves gaps that the next one
+# does not fit in, and the heap grows for as long as the server runs.
+READ_BUFFER_BYTES = 1 << 14
+selector_events._SelectorTransport.max_size = READ_BUFFER_BYTES  # type: ignore[attr-defined]
+
+
+class AppServer:
+    """The actors of one app server, and the two files that can be read again while it runs."""
+
+    def __init__(
+        self, start_file: StartFile, read_server_settings: Callable[[], ServerSettings],
+        read_service_config: Callable[[], ServiceConfig],
+    ) -> None:  # fmt: skip
+        """The functions read the start file and the service configuration again, on SIGHUP.
+
+        The second one also reads the service configuration at the start.
+        """
+        settings, names, admission = start_file
+        self.settings = settings  # the last ones that were applied
+        self.read_server_settings, self.read_service_config = read_server_settings, read_service_config
+        self.dispatcher = Dispatcher(
+            settings.stop_timeout, admission, RESULTS_MEMORY_SHARE * settings.memory_limit
+        )
+        inbox = self.dispatcher.inbox
+        self.listener = Listener(names, settings.max_descriptors, admission.clients.idle_timeout, inbox)
+        startup = StartupController(
+            clock(), admission.seed, settings.name, rate_limits(admission), early_signals.blocked_since()
+        )
+        self.processor = ProcessorClient(settings.processor, names, inbox, startup)
+        self.dependency = DependencyClient(settings.dependency, inbox, startup)
+        self.endpoint_registry = EndpointRegistryClient(settings.endpoint_registry, settings.name, startup)
+        self.dispatcher.connect_peers(self.listener, self.processor, self.dependency, self.endpoint_registry)
+        self.context = extensions.ExtensionContext(
+            admission.seed, inbox, settings.name, names, settings.listen
+        )
+        self.dispatcher.set_extensions(extensions.create_extensions(read_service_config(), self.context))
 
+    async def run(self, address: Address, task_status: TaskStatus[Address]) -> None:
+        """Run all actors until the dispatcher is done. `address`: where the listener listens."""
+        async with anyio.create_task_group() as tasks:
+            for actor in (self.listener, self.processor, self.dependency, self.endpoint_registry):
+                tasks.start_soon(_run_with_restarts, actor.run)
+            extensions.start_extensions(tasks, self.dispatcher.extensions.extensions)
+            await tasks.start(self._handle_signals, tasks)
+            task_status.started(address)
+            await self.dispatcher.run()
+            with anyio.move_on_after(FLUSH_SECONDS):
+                await self.listener.flush()
+            tasks.cancel_scope.cancel()
 
-async def serve(
-    station: Station, names: Names, given: dict[str, Any], again: Callable[[], Station],
-    orders: Callable[[], extensions.Orders] = dict,
-    *, task_status: TaskStatus[Address] = anyio.TASK_STATUS_IGNORED,
-) -> None:  # fmt: skip
-    """`again` and `orders` read the start file and the operators' file, at the start and on SIGHUP."""
-    desk = Desk(station.stop, given, RESULTS_SHARE * station.memory)
-    front = Front(names, station.descriptors, given["callers"].idle, desk.inbox)
-    cold = ColdStart(clock(), given["seed"], station.name, terms(given), early_signals.since())
-    processor = Processor(station.processor, names, desk.inbox, cold)
-    database = Database(station.database, desk.inbox, cold)
-    roster = Roster(station.roster, station.name, cold)
-    desk.meet(front, processor, database, roster)
-
-    around = extensions.Around(given["seed"], desk.inbox, station.name, names, station.listen)
-    desk.stands(extensions.build(orders(), around))
-
-    latest = station  # the last one that was taken
-
-    def moves() -> None:
-        """The start file again: peers may be elsewhere. What it says besides waits for the next start."""
-        nonlocal latest
+    def close(self) -> None:
+        """Free what the actors hold; none of them runs any more."""
+        self.dispatcher.inbox.close()
+        self.dispatcher.events.close()
+        self.listener.close()
+        for extension in self.dispatcher.extensions.extensions:
+            extension.close()
+        for peer in (self.processor, self.dependency, self.endpoint_registry):
+            peer.outbox.close()
+            peer.outbox_reader.close()
+
+    async def _handle_signals(
+        self, tasks: TaskGroup, *, task_status: TaskStatus[None] = anyio.TASK_STATUS_IGNORED
+    ) -> None:
+        """Take signals until the server ends.
+
+        SIGTERM is the shutdown notice; a second one changes nothing. SIGHUP asks to read the files again,
+        during a drain as well.
+        """
+        notices: list[float] = []  # when each came: the event loop hears of it only after its turn
+
+        def record_notice(*_: Any) -> None:  # not by `clock`, which it may interrupt
+            notices.append(time())
+
+        with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals:
+            for number in early_signals.SHUTDOWN_SIGNALS:  # what wakes the event loop stays
+                signal.signal(number, record_notice)
+                signal.siginterrupt(number, False)
+            if (waited_since := early_signals.unblock()) is not None:
+                notices.insert(0, waited_since)
+            task_status.started()
+            try:
+                async for number in signals:
+                    if number == signal.SIGHUP:
+                        self._reload_start_file()
+                        self._reload_service_config(tasks)
+                    else:
+                        await post(self.dispatcher.inbox, ShutdownRequested(notices[0]))
+            finally:
+                early_signals.reblock()
+
+    def _reload_start_file(self) -> None:
+        """Peers may have other addresses. What else the file says waits for the next start."""
         try:
-            new = again()
-        except Exception as error:  # whatever is wrong with it, what was read before still holds, whole
-            logs.counts["start_file_bad"] += 1
-            return logs.say(logging.ERROR, "start file not taken", error)
+            new = self.read_server_settings()
+        except Exception as error:  # whatever is wrong with it, what was read before still holds, completely
+            logs.counters["start_file_errors"] += 1
+            return logs.log_event(logging.ERROR, "start_file_rejected", error)
+        old, self.settings = self.settings, new
         peers = (
-            (processor, latest.processor, new.processor),
-            (database, latest.database, new.database),
-            (roster, latest.roster, new.roster),
+            (self.processor, old.processor, new.processor),
+            (self.dependency, old.dependency, new.dependency),
+            (self.endpoint_registry, old.endpoint_registry, new.endpoint_registry),
+        )
+        for peer, last_address, address in peers:
+            # The registry's client applies an address only when its report is over: by `peer.address` alone
+            # one that is restored before that would change nothing, and the address between the two would
+            # stay.
+            if last_address != address or peer.address != address:
+                peer.send(AddressChanged(address))  # type: ignore[arg-type]
+        logs.log_event(
+            logging.INFO, "start_file_reloaded", processor=new.processor, dependency=new.dependency
         )
-        latest = new
-        for peer, last_told, where in peers:
-            # The list's client takes an address up only when its report is over: by `peer.where` alone one
-            # that is back before that would change nothing, and the address between the two would stay.
-            if last_told != where or peer.where != where:
-                peer.tell(Move(where))
-        logs.say(logging.INFO, "start file read again", processor=new.processor, database=new.database)
-
-    def reforms() -> None:
-        """The operators' file again. Whatever is wrong with it, the old one stays in force, whole."""
+
+    def _reload_service_config(self, tasks: TaskGroup) -> None:
+        """Whatever is wrong with the new one, the old one stays in force, completely."""
+        present = self.dispatcher.extensions.extensions
         try:
-            sides, new = extensions.reform(desk.behind, orders(), around)
+            all_extensions, added = extensions.reload_extensions(
+                present, self.read_service_config(), self.context
+            )
         except Exception as error:
-            logs.counts["orders_bad"] += 1
-            return logs.say(logging.ERROR, "operators' file not taken", error)
-        desk.stands(sides)
-        extensions.run(tasks, new)
+            logs.counters["service_config_errors"] += 1
+            return logs.log_event(logging.ERROR, "service_config_rejected", error)
+        self.dispatcher.set_extensions(all_extensions)
+        extensions.start_extensions(tasks, added)
+
+
+async def serve(
+    start_file: StartFile, read_server_settings: Callable[[], ServerSettings],
+    read_service_config: Callable[[], ServiceConfig] = dict,
+    *, task_status: TaskStatus[Address] = anyio.TASK_STATUS_IGNORED,
+) -> None:  # fmt: skip
+    """Run one app server until its drain is over; `StartFileError` where its address cannot be had.
 
+    The functions read the start file and the service configuration again, on SIGHUP; the second one at the
+    start as well.
+    """
+    settings = start_file.server
+    server = AppServer(start_file, read_server_settings, read_service_config)
     try:
-        where = await _listen(front, station)
-        if where is None:
-            return logs.say(logging.INFO, "left", name=station.name, why="told so before it could listen")
-        logs.say(logging.INFO, "listening", name=station.name, address=where)
-        gc.set_threshold(*GARBAGE)
-        gc.collect()
-        gc.freeze()  # what was made at the start stays, and need not be looked at again
-        async with anyio.create_task_group() as tasks:
-            for actor in (front, processor, database, roster):
-                tasks.start_soon(_kept_up, actor.run)
-            extensions.run(tasks, desk.behind)
-            await tasks.start(_signals, desk, (moves, reforms))
-            task_status.started(where)
-            await desk.run()
-            with anyio.move_on_after(FLUSH):
-                await front.flush()
-            tasks.cancel_scope.cancel()
+        address = await _listen(server.listener, settings)
+        if address is None:
+            return logs.log_event(
+                logging.INFO, "stopped", name=settings.name, reason="shutdown before it could listen"
+            )
+        logs.log_event(logging.INFO, "listening", name=settings.name, address=address)
+        _tune_garbage_collector()
+        await server.run(address, task_status)
     finally:
-        desk.inbox.close()
-        desk.events.close()
-        front.close()
-        for side in desk.behind:
-            side.close()
-        for peer in (processor, database, roster):
-            peer.outbox.close()
-            peer.unsent.close()
-    desk.tell_counts()
-    logs.say(logging.INFO, "left", name=station.name)
+        server.close()
+    server.dispatcher.log_counters()
+    logs.log_event(logging.INFO, "stopped", name=settings.name)
 
 
-async def _listen(front: Front, station: Station) -> Address | None:
-    """The address once it is bound; None where a notice to leave came first.
+def _tune_garbage_collector() -> None:
+    gc.set_threshold(*GC_THRESHOLDS)
+    gc.collect()
+    gc.freeze()  # what was made at the start stays, and need not be looked at again
 
-    A restarted server can find its address in use by the one before it, which drains until it is killed: the
-    stop's span past its notice at the latest. Nobody can reach the new one before, so nothing is owed.
+
+async def _listen(listener: Listener, settings: ServerSettings) -> Address | None:
+    """The address once it is bound; None where a shutdown notice came first.
+
+    A restarted server can find its address in use by the one before it, which drains until it is killed, the
+    stop timeout past its notice at the latest. Nobody can reach the new one before, so nothing is owed.
     """
-    give_up_at = clock() + station.stop + KILLED_WITHIN
-    waits = False
+    longest_wait = settings.stop_timeout + PREDECESSOR_EXIT_SECONDS
+    give_up_at = clock() + longest_wait
+    has_logged = False
     while True:
         try:
-            return await front.listen(station.listen)
+            return await listener.listen(settings.listen)
         except (OSError, ValueError) as error:
-            in_use = isinstance(error, OSError) and error.errno == errno.EADDRINUSE
-            if not in_use or clock() >= give_up_at:
-                raise BadStart(f"cannot listen on {station.listen}: {error}") from None
-        if early_signals.noticed():
+            is_in_use = isinstance(error, OSError) and error.errno == errno.EADDRINUSE
+            if not is_in_use or clock() >= give_up_at:
+                raise StartFileError(f"cannot listen on {settings.listen}: {error}") from None
+        if early_signals.is_shutdown_pending():
             return None
-        if not waits:
-            waits = True
-            span = station.stop + KILLED_WITHIN
-            logs.say(logging.WARNING, "address in use, tried again", address=station.listen, within=span)
-        await anyio.sleep(LISTEN_RETRY)
+        if not has_logged:
+            has_logged = True
+            logs.log_event(
+                logging.WARNING, "address_in_use", address=settings.listen, retry_seconds=longest_wait
+            )
+        await anyio.sleep(LISTEN_RETRY_SECONDS)
 
 
-async def _kept_up(run: Callable[[], Awaitable[None]]) -> None:
+async def _run_with_restarts(run: Callable[[], Awaitable[None]]) -> None:
     """An error that an actor did not foresee ends what it does, not the server."""
     while True:
         try:
             return await run()
         except Exception as error:
-            logs.counts["actor_error"] += 1
-            logs.say(logging.ERROR, "actor starts again", error)
-            await anyio.sleep(AGAIN)
-
-
-async def _signals(
-    desk: Desk, again: tuple[Callable[[], None], ...],
-    *, task_status: TaskStatus[None] = anyio.TASK_STATUS_IGNORED,
-) -> None:  # fmt: skip
-    """SIGTERM is the notice to leave; a second one changes nothing. SIGHUP asks to read the files again,
-    during a drain as well."""
-    notice: list[float] = []  # when it came: the event loop hears of it only when it is through with its turn
-
-    def stamp(*_: Any) -> None:  # not by `clock`: it may stand in the middle of one
-        notice.append(time())
-
-    with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals:
-        for (
-            number
-        ) in early_signals.NOTICES:  # in place of a handler that does nothing; what wakes the loop stays
-            signal.signal(number, stamp)
-            signal.siginterrupt(number, False)
-        if (waited := early_signals.let_go()) is not None:
-            notice.insert(0, waited)
-        task_status.started()
-        try:
-            async for number in signals:
-                if number == signal.SIGHUP:
-                    for read in again:
-                        read()
-                else:
-                    await post(desk.inbox, Leave(notice[0]))
-        finally:
-            early_signals.hold_again()
+            logs.counters["actor_errors"] += 1
+            logs.log_event(logging.ERROR, "actor_restarted", error)
+            await anyio.sleep(RESTART_BACKOFF_SECONDS)
--- a/thymeyoke/server/messages.py
+++ b/thymeyoke/server/messages.py
@@ -1,271 +1,251 @@
-"""What the actors of a server tell each other: small values, free of any protocol's names.
+"""What the actors of an app server send each other: small values, free of any protocol's names.
 
-Peers `post` to the desk and wait where it is busy; the desk tells peers and never waits.
+Peers post to the dispatcher and wait while its mailbox is full; the dispatcher sends to peers and never
+waits.
 """
 
 from __future__ import annotations
 
-from enum import Enum
-from typing import Any, NamedTuple, Protocol
+from typing import NamedTuple, Protocol
 
-from thymeyoke.admission.settings import Outcome
+from thymeyoke.admission.events import Outcome
 from thymeyoke.configuration.start_file import Address
+from thymeyoke.runtime.extensions import Answer, StatusQuery
 
-NOT_TOLD = 0.0  # of a patience, or of an op's work
+UNKNOWN = 0.0  # a client timeout or a work hint that the client does not give
 
 
-class Order(NamedTuple):
-    """An op as it was read."""
+class RequestHeader(NamedTuple):
+    """A request as it was read."""
 
     id: str
-    type: int
+    class_index: int
     tenant: int
-    caller: int
-    since: float  # when it reached this machine
-    patience: float  # from `since` until its caller gives up this try; not told at every deployment
-    size: float
-    prio: float
-    key: str | None  # the same for all tries of a keyed op
+    client: int
+    received_at: float  # when it reached this machine
+    client_timeout: float  # from `received_at` until the client abandons this attempt; may be UNKNOWN
+    size: float  # kilobytes
+    priority: float
+    idempotency_key: str | None  # the same for all attempts of a request
     subject: str | None
     body: bytes
-    work: float = NOT_TOLD  # expected, in seconds of a standard core
-    further: bool = False  # marked as a further try
+    work_hint: float = UNKNOWN  # expected work in seconds of a standard core
+    is_retry: bool = False  # marked as a retry or a hedged request
 
 
-class Verdict(Enum):
-    ACK = "acked"
-    NACK = "nacked"
-    FAIL = "failed"
+# To a client.
 
 
-class Answer(NamedTuple):
-    """The one final answer to an op, or to a health check."""
+class HealthAnswer(NamedTuple):
+    """The answer to a health check."""
 
     number: int
-    verdict: Verdict
-    body: bytes = b""
-    value: float | None = None
-    wait: float = 0.0
-    nowhere_else: bool = False
+    is_healthy: bool
+    backpressure: float | None
 
 
-class Fitness(NamedTuple):
-    number: int
-    fit: bool
-    value: float | None
-
+class ShutdownNotice(NamedTuple):
+    """Send nothing new on this connection: the server leaves, or closes an idle connection."""
 
-class Leaving(NamedTuple):
-    """To a caller: send nothing new on this connection. To the front: the whole server leaves."""
 
+ClientMessage = Answer | HealthAnswer | ShutdownNotice
 
-Telling = Answer | Fitness | Leaving
 
+class ClientHandle(Protocol):
+    """A client's connection; it never makes the dispatcher wait."""
 
-class Trim(NamedTuple):
-    span: float
+    def send(self, message: ClientMessage) -> None:
+        """Queue a message for the client."""
 
 
-class Asker(Protocol):
-    """Where an answer goes. A front's actor for one peer; it never makes the desk wait."""
+# To the dispatcher.
 
-    def tell(self, what: Telling) -> None: ...
 
+class RequestReceived(NamedTuple):
+    """A request was read."""
 
-# To the desk.
+    client: ClientHandle
+    number: int  # of the request, on its connection
+    header: RequestHeader
 
 
-class Arrived(NamedTuple):
-    asker: Asker
-    number: int
-    order: Order
-
+class HealthCheckReceived(NamedTuple):
+    """A health check was read."""
 
-class Checked(NamedTuple):
-    asker: Asker
+    client: ClientHandle
     number: int
 
 
-class Gone(NamedTuple):
-    """Nobody waits there any more for the op: another peer's op of the same id is none of it."""
+class ClientGone(NamedTuple):
+    """The client does not wait any more for this request; another client's of the same id is not meant."""
 
     id: str
-    asker: Asker
+    client: ClientHandle
 
 
-class Emptied(NamedTuple):
-    """No connection is left."""
+class AllConnectionsClosed(NamedTuple):
+    """The listener is closed, and no connection is left."""
 
 
-class Leave(NamedTuple):
-    """The notice to leave, and when it came."""
+class ShutdownRequested(NamedTuple):
+    """The shutdown notice, and when it came."""
 
     at: float
 
 
-class Probe(NamedTuple):
-    """Somebody behind the desk asks how the server stands; the answer is a `Standing`."""
+class ProcessorReady(NamedTuple):
+    """The processor is up."""
 
-    asker: Inquirer
+    is_cold: bool
+    age: float  # seconds since its start
 
 
-class Up(NamedTuple):
-    cold: bool
-    age: float  # of the processor's start
+class ProcessorSynced(NamedTuple):
+    """All that ended while the processor was out of reach has been reported; commands go out on this link.
 
-
-class Synced(NamedTuple):
-    """All that ended while a link was away has been told; commands go out on this link. What was told to the
-    links before and may be `lost` with them has not been read, as far as the processor has proven."""
+    Commands that went out on earlier links and are `possibly_lost` with them have not been read, as far as
+    the processor has proven.
+    """
 
     link: int
-    lost: frozenset[str] = frozenset()  # ids of requests
+    possibly_lost: frozenset[str] = frozenset()  # ids of requests
+
 
+class ProcessorDisconnected(NamedTuple):
+    """The link to the processor is lost."""
 
-class Down(NamedTuple):
-    pass
 
+class RunEnded(NamedTuple):
+    """A run is over, or was stopped."""
 
-class Ended(NamedTuple):
     id: str
     outcome: Outcome
     result: bytes
-    lasted: float = 0.0  # seconds of run, as the processor tells them
+    run_time: float = 0.0  # seconds, as the processor reports them
 
 
-class Asked(NamedTuple):
-    """A run stands at a call with this body."""
+class DependencyCallRequested(NamedTuple):
+    """A run waits for a dependency call with this body."""
 
     id: str
     body: bytes
 
 
-class Gauges(NamedTuple):
+class GaugesRead(NamedTuple):
+    """Readings of the machine's gauges, in the order of its settings."""
+
     values: tuple[float, ...]
 
 
-class Refused(NamedTuple):
+class CommandRejected(NamedTuple):
     """A command that the processor did not carry out."""
 
     id: str
     command: type[Command] | None
 
 
-class CallOver(NamedTuple):
+class CallEnded(NamedTuple):
+    """A dependency call is over."""
+
     id: str
     outcome: Outcome
     body: bytes
-    took: float
-
+    took: float  # seconds
 
-# From the desk to the processor, the database and the list.
 
+# From the dispatcher to the processor.
 
-class Begin(NamedTuple):
-    id: str
-    type: int
-    body: bytes
 
+class StartRun(NamedTuple):
+    """Start a request."""
 
-class Interrupt(NamedTuple):
     id: str
+    class_index: int
+    body: bytes
 
 
-class TakeUp(NamedTuple):
-    """Go on with a paused run."""
+class StopRun(NamedTuple):
+    """Stop a run."""
 
     id: str
 
 
-class Without(NamedTuple):
-    """Go on without the call that a run stands at."""
+class ResumeRun(NamedTuple):
+    """Continue a paused run."""
 
     id: str
 
 
-class Reply(NamedTuple):
-    """What came back from the call that a run stands at."""
+class ContinueWithoutCall(NamedTuple):
+    """Continue a run without the dependency call that it waits for."""
 
     id: str
-    body: bytes
 
 
-class Gauge(NamedTuple):
-    """Ask for the gauges."""
-
+class CallResult(NamedTuple):
+    """What came back from the dependency call that a run waits for."""
 
-class Call(NamedTuple):
     id: str
-    until: float
     body: bytes
 
 
-class GiveUp(NamedTuple):
-    id: str
-
-
-class Report(NamedTuple):
-    fit: bool
+class ReadGauges(NamedTuple):
+    """Ask for the gauges."""
 
 
-class Move(NamedTuple):
-    """The peer is to be found elsewhere from now on; what is in hand with it carries over."""
+# From the dispatcher to the dependency, the endpoint registry and the listener.
 
-    where: Address
 
+class StartCall(NamedTuple):
+    """Make a dependency call; abandon it at `deadline`, a moment of the clock."""
 
-# From the desk to what stands behind it (`behind.Behind`).
+    id: str
+    deadline: float
+    body: bytes
 
 
-class Standing(NamedTuple):
-    """How the server stands. Counts run from its start, moments are the clock's."""
+class AbandonCall(NamedTuple):
+    """Abandon a dependency call."""
 
-    up: bool
-    linked: bool  # the processor's link
-    warm_at: float
-    busy: float | None  # of the cores, 0 to 1; None before the first gauges, or where none tells it
-    ops: int
-    nacked: int
-    connections: int
-    most: int  # connections
+    id: str
 
 
-class Over(NamedTuple):
-    """An op's end: answered and off the cores. With `asker` the answer is still to be told, by `until`."""
+class HealthChanged(NamedTuple):
+    """Report this health to the endpoint registry."""
 
-    at: float
-    id: str
-    tenant: int
-    type: int
-    verdict: Verdict | None  # None: its caller went
-    repeat: bool
-    run: float  # seconds, as the processor told them
-    calls: int
-    importance: float
-    octets: int
-    asker: Asker | None
-    answer: Answer | None
-    until: float
+    is_healthy: bool
 
 
-class Draining(NamedTuple):
-    """The notice to leave is there; ops are taken until `door_at`."""
+class AddressChanged(NamedTuple):
+    """The peer has another address from now on; what is in flight with it carries over."""
 
-    door_at: float
+    address: Address
 
 
-class Reformed(NamedTuple):
-    """The operators' file was read anew: the subsystem's section, or None where it is gone."""
+class IdleTimeoutChanged(NamedTuple):
+    """Close connections that were unused for so many seconds."""
 
-    section: Any
+    seconds: float
 
 
-class Inquirer(Protocol):
-    def tell(self, what: Standing) -> None: ...
+class CloseListener(NamedTuple):
+    """Accept no more connections, and send all clients a shutdown notice."""
 
 
-Command = Begin | Interrupt | TakeUp | Without | Reply | Gauge
+Command = StartRun | StopRun | ResumeRun | ContinueWithoutCall | CallResult | ReadGauges
 Event = (
-    Arrived | Checked | Gone | Emptied | Leave | Probe
-    | Up | Synced | Down | Ended | Asked | Gauges | Refused | CallOver
-)  # fmt: skip
+    RequestReceived
+    | HealthCheckReceived
+    | ClientGone
+    | AllConnectionsClosed
+    | ShutdownRequested
+    | StatusQuery
+    | ProcessorReady
+    | ProcessorSynced
+    | ProcessorDisconnected
+    | RunEnded
+    | DependencyCallRequested
+    | GaugesRead
+    | CommandRejected
+    | CallEnded
+)
--- a/thymeyoke/server/processor.py
+++ b/thymeyoke/server/processor.py
@@ -1,270 +1,158 @@
-"""The link to the processor: commands out, notices in, one JSON object a line."""
+"""The client of the processor: keeps a link up, sends commands and reports notices."""
 
 from __future__ import annotations
 
 import logging
-from base64 import b64decode, b64encode
-from collections import deque
-from collections.abc import Iterable
-from typing import Any, NamedTuple
 
 import anyio
-import orjson
 from anyio.abc import ByteStream
 from anyio.streams.memory import MemoryObjectSendStream
 
-from thymeyoke.admission.settings import Outcome
-from thymeyoke.configuration.start_file import Address, Names
+from thymeyoke.configuration.start_file import Address, RequestNames
 from thymeyoke.runtime import logs
 from thymeyoke.runtime.clock import clock
 from thymeyoke.runtime.mailbox import post, take_all
 from thymeyoke.server.messages import (
-    Asked,
-    Begin,
+    AddressChanged,
     Command,
-    Down,
-    Ended,
     Event,
-    Gauge,
-    Gauges,
-    Interrupt,
-    Move,
-    Refused,
-    Reply,
-    Synced,
-    TakeUp,
-    Up,
-    Without,
+    GaugesRead,
+    ProcessorDisconnected,
+    ProcessorReady,
+    ProcessorSynced,
 )
-from thymeyoke.slow_start.connector import Standing
-from thymeyoke.slow_start.controller import ColdStart
+from thymeyoke.server.processor_wire import InvalidLineError, RequestSync, decode, encode, encode_hello
+from thymeyoke.server.unacknowledged import UnacknowledgedCommands
+from thymeyoke.slow_start.connector import ConnectorStatus
+from thymeyoke.slow_start.controller import StartupController
 
-ENDS = {"OK": Outcome.OK, "ERROR": Outcome.ERROR, "STOPPED": Outcome.STOPPED, "MOOT": Outcome.MOOT}
-OUTBOX = 1024
-CHUNK = 1 << 16
-LINE_LIMIT = 1 << 16
-COMMANDS = {"begin": Begin, "interrupt": Interrupt, "goon": TakeUp, "without": Without, "answer": Reply,
-            "usage": Gauge}  # fmt: skip
-GAUGES, SYNC = "gauges", "sync"  # tickets; the second has the link's number behind it
-MOST_UNPROVEN = 4096  # commands and asks for gauges; one that is older counts as read
-LOST_SPAN = 0.3  # commands of the last 50 ms may be lost with a link, which is noticed up to so much later
+OUTBOX_SIZE = 1024
+READ_BYTES = 1 << 16
+MAX_LINE_BYTES = 1 << 16
+CONNECT_TIMEOUT_SECONDS = 1.0
 
 
-class Sync(NamedTuple):
-    """Ask for a sign that all notices before this link have been told."""
-
-    link: int
-
-
-class BadLine(Exception):
-    """What the processor sent is not of the protocol."""
-
-
-class Written(NamedTuple):
-    """A command that changes a run, by its request's id, or an ask for gauges."""
-
-    at: float
-    id: str | None
-
-
-class Unproven:
-    """Which commands may not have reached the processor. It reads in order and answers each ask for gauges,
-    so an answer proves all that was written before its ask; what was written since may be lost with the link,
-    and so may, by the platform's page, what was written just before the loss, whatever was answered.
-
-    By the time at which a command was handed to the link, one that was written late, or into a link that was
-    dead already, once counted as read: its request failed in time, and its core stayed taken for good."""
-
-    def __init__(self) -> None:
-        self.written: deque[Written] = deque(maxlen=MOST_UNPROVEN)  # in order; emptied by answers and losses
-        self.proven: deque[Written] = deque(maxlen=MOST_UNPROVEN)  # and younger than LOST_SPAN
-        self.lost: set[str] = set()  # may be; emptied when the dispatcher is told of them
-
-    def writes(self, now: float, command: Command | Sync) -> None:
-        """Before it is written: half a command is none."""
-        match command:
-            case Gauge():
-                self.written.append(Written(now, None))
-            case Begin(id) | Reply(id) | TakeUp(id) | Without(id):  # interrupts go out again by themselves
-                self.written.append(Written(now, id))
-
-    def answered(self, now: float) -> None:
-        """The oldest ask for gauges was."""
-        while self.written and (oldest := self.written.popleft()).id is not None:
-            self.proven.append(oldest)
-        while self.proven and self.proven[0].at < now - LOST_SPAN:
-            self.proven.popleft()
-
-    def loses(self, now: float, unsent: Iterable[Command | Sync] = ()) -> None:
-        """The link, with what it was still to write."""
-        for command in unsent:
-            self.writes(now, command)
-        late = [each for each in self.proven if each.at >= now - LOST_SPAN]
-        self.lost.update(each.id for each in (*self.written, *late) if each.id is not None)
-        self.written.clear()
-        self.proven.clear()
-
-    def take_lost(self) -> frozenset[str]:
-        lost, self.lost = frozenset(self.lost), set()
-        return lost
-
-
-def encode(command: Command | Sync, op_types: list[str]) -> bytes:
-    match command:
-        case Begin(id, type, body):
-            said = {"event": "begin", "handle": id, "entry": op_types[type], "arg": b64encode(body).decode()}
-        case Reply(id, body):
-            said = {"event": "answer", "handle": id, "arg": b64encode(body).decode()}
-        case Interrupt(id):
-            said = {"event": "interrupt", "handle": id}
-        case TakeUp(id):
-            said = {"event": "goon", "handle": id}
-        case Without(id):
-            said = {"event": "without", "handle": id}
-        case Gauge():
-            said = {"event": "usage", "ticket": GAUGES}
-        case Sync(link):
-            said = {"event": "usage", "ticket": f"{SYNC}{link}"}
-    return orjson.dumps(said) + b"\n"
-
-
-def decode(line: bytes, link: int) -> tuple[int, Event | None]:
-    """A notice's number, 0 where it has none, and what it says."""
-    try:
-        said: dict[str, Any] = orjson.loads(line)
-        cursor = int(said.get("cursor", 0))
-        match said["event"]:
-            case "hi":
-                return cursor, Up(said["fate"] == "COLD", said["lasted"] / 1000)
-            case "complete":
-                result = b64decode(said.get("arg") or "", validate=True)
-                lasted = said.get("lasted") or 0
-                return cursor, Ended(said["handle"], ENDS[said["fate"]], result, float(lasted) / 1000)
-            case "ask":
-                return cursor, Asked(said["handle"], b64decode(said.get("arg") or "", validate=True))
-            case "used" if said.get("ticket") == f"{SYNC}{link}":
-                return cursor, Synced(link)
-            case "used":
-                return cursor, Gauges(tuple(float(value) for value in said["figures"]))
-            case "reject":
-                return cursor, Refused(said.get("handle", ""), COMMANDS.get(said.get("fate")))
-            case "remark":
-                return cursor, None
-        raise BadLine(f"unknown event {str(said['event'])[:40]}")
-    except (AttributeError, KeyError, TypeError, ValueError) as error:
-        raise BadLine(f"{type(error).__name__} {error} in {line[:80]!r}") from None
-
-
-class Processor:
-    """Keeps the link up. What a lost link swallowed is the desk's to send again, once it is `Synced`."""
+class ProcessorClient:
+    """Keeps the link up. What a lost link swallowed the dispatcher sends again, once in sync."""
 
     def __init__(
-        self, where: Address, names: Names, desk: MemoryObjectSendStream[Event], cold: ColdStart | None = None
-    ) -> None:
-        self.where, self.op_types, self.desk = where, list(names.op_types), desk
-        self.tries = (cold or ColdStart(clock())).link
-        self.said = Standing.COMING
-        self.outbox, self.unsent = anyio.create_memory_object_stream[Command | Sync](OUTBOX)
+        self, address: Address, names: RequestNames, dispatcher: MemoryObjectSendStream[Event],
+        startup: StartupController | None = None,
+    ) -> None:  # fmt: skip
+        """`names`: of the request classes, in their order."""
+        self.address, self.dispatcher = address, dispatcher
+        self.class_names = list(names.request_classes)
+        self.connector = (startup or StartupController(clock())).connector
+        self.logged_status = ConnectorStatus.CONNECTING
+        self.outbox, self.outbox_reader = anyio.create_memory_object_stream[Command | RequestSync](
+            OUTBOX_SIZE
+        )
         self.scope = anyio.CancelScope()  # of the present link
-        self.link = self.cursor = 0
-        self.unproven = Unproven()
+        self.link = self.cursor = 0  # numbers of the link, and of the last notice that was read
+        self.unacknowledged = UnacknowledgedCommands()
 
-    def tell(self, command: Command | Sync | Move) -> None:
-        if isinstance(command, Move):  # the new link takes up behind the last notice read on the old one
-            self.where = command.where
+    def send(self, command: Command | RequestSync | AddressChanged) -> None:
+        """Queue a command; where there is no room, the link is given up and made anew."""
+        if isinstance(command, AddressChanged):  # the new link continues after the last notice of the old one
+            self.address = command.address
             return self.scope.cancel()
         try:
             self.outbox.send_nowait(command)
         except anyio.WouldBlock:
-            logs.counts["processor_outbox_full"] += 1
-            self.unproven.loses(clock(), (command,))
+            logs.counters["processor_outboxes_full"] += 1
+            self.unacknowledged.link_lost(clock(), (command,))
             self.scope.cancel()
 
     async def run(self) -> None:
+        """Run until cancelled."""
         while True:
-            where = self.where
+            address = self.address
             try:
-                with anyio.fail_after(1.0):
-                    stream = await anyio.connect_tcp(where.host, where.port)
+                with anyio.fail_after(CONNECT_TIMEOUT_SECONDS):
+                    stream = await anyio.connect_tcp(address.host, address.port)
             except (OSError, TimeoutError):
-                await self._rest(self.tries.refused(clock()))
+                await self._wait(self.connector.connect_failed(clock()))
                 continue
-            if where != self.where:  # moved while it connected: the old address takes no commands for long
+            if address != self.address:  # changed meanwhile: the old one accepts no commands for long
                 await anyio.aclose_forcefully(stream)
                 continue
-            self.tries.taken(clock())
-            self.link += 1
-            try:
-                await self._live(stream)
-            except Exception as error:
-                logs.counts["processor_error"] += 1
-                logs.say(logging.ERROR, "processor link ends", error)
-            finally:
-                await anyio.aclose_forcefully(stream)
-            self.unproven.loses(clock())
-            logs.counts["processor_links_lost"] += 1
-            pause = self.tries.lost(clock())
-            await post(self.desk, Down())
-            await self._rest(pause)
-
-    async def _rest(self, pause: float) -> None:
-        """Until the next try. That it has failed is told once."""
-        standing = self.tries.standing(clock())
-        if standing is Standing.FAILED and self.said is not standing:
-            logs.say(logging.WARNING, "processor out of reach", address=self.where, tries=self.tries.failures)
-        self.said = standing
-        await anyio.sleep(pause)
+            await self._run_link(stream)
 
-    async def _live(self, stream: ByteStream) -> None:
-        self.unproven.loses(clock(), take_all(self.unsent))  # told to the link before: the desk sends again
+    async def _run_link(self, stream: ByteStream) -> None:
+        self.connector.connected(clock())
+        self.link += 1
+        try:
+            await self._serve_link(stream)
+        except Exception as error:
+            logs.counters["processor_errors"] += 1
+            logs.log_event(logging.ERROR, "processor_link_failed", error)
+        finally:
+            await anyio.aclose_forcefully(stream)
+        self.unacknowledged.link_lost(clock())
+        logs.counters["processor_links_lost"] += 1
+        backoff = self.connector.connection_lost(clock())
+        await post(self.dispatcher, ProcessorDisconnected())
+        await self._wait(backoff)
+
+    async def _wait(self, backoff: float) -> None:
+        """Wait until the next attempt. That the start has failed is logged once."""
+        status = self.connector.status(clock())
+        if status is ConnectorStatus.FAILED and self.logged_status is not status:
+            attempts = self.connector.failures
+            logs.log_event(logging.WARNING, "processor_unreachable", address=self.address, attempts=attempts)
+        self.logged_status = status
+        await anyio.sleep(backoff)
+
+    async def _serve_link(self, stream: ByteStream) -> None:
+        # What was queued for the link before: the dispatcher sends it again.
+        self.unacknowledged.link_lost(clock(), take_all(self.outbox_reader))
         with anyio.CancelScope() as self.scope:
             async with anyio.create_task_group() as tasks:
-                hello = orjson.dumps({"event": "hello", "cursor": self.cursor})
-                await stream.send(hello + b"\n")
+                await stream.send(encode_hello(self.cursor))
                 tasks.start_soon(self._write, stream)
                 await self._read(stream)
                 self.scope.cancel()
 
     async def _write(self, stream: ByteStream) -> None:
         try:
-            async for command in self.unsent:
-                batch, now = [command, *take_all(self.unsent)], clock()
+            async for command in self.outbox_reader:
+                batch, now = [command, *take_all(self.outbox_reader)], clock()
                 for each in batch:
-                    self.unproven.writes(now, each)
-                await stream.send(b"".join(encode(command, self.op_types) for command in batch))
+                    self.unacknowledged.add(now, each)
+                await stream.send(b"".join(encode(each, self.class_names) for each in batch))
         except (anyio.BrokenResourceError, anyio.ClosedResourceError):
             self.scope.cancel()
 
     async def _read(self, stream: ByteStream) -> None:
-        rest = b""
+        incomplete = b""
         try:
             while True:
-                *lines, rest = (rest + await stream.receive(CHUNK)).split(b"\n")
-                if len(rest) > LINE_LIMIT:
-                    raise BadLine("a line is too long")
+                *lines, incomplete = (incomplete + await stream.receive(READ_BYTES)).split(b"\n")
+                if len(incomplete) > MAX_LINE_BYTES:
+                    raise InvalidLineError("a line is too long")
                 for line in lines:
-                    await self._heard(line)
+                    await self._handle_line(line)
         except (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError):
             return
-        except BadLine as error:
-            logs.counts["processor_bad_line"] += 1
-            logs.say(logging.WARNING, "processor link dropped", why=str(error))
+        except InvalidLineError as error:
+            logs.counters["processor_invalid_lines"] += 1
+            logs.log_event(logging.WARNING, "processor_link_dropped", reason=str(error))
 
-    async def _heard(self, line: bytes) -> None:
+    async def _handle_line(self, line: bytes) -> None:
         cursor, event = decode(line, self.link)
         if cursor:
-            if cursor <= self.cursor:  # told before
+            if cursor <= self.cursor:  # it was read on an earlier link
                 return
             self.cursor = cursor
         match event:
-            case Up():
-                self.tries.up(clock())
+            case ProcessorReady():
+                self.connector.ready(clock())
                 # A processor that is not up carries out no command: what was written before is lost as well.
-                self.unproven.loses(clock())
-                self.tell(Sync(self.link))
-            case Gauges():
-                self.unproven.answered(clock())
-            case Synced(link):
-                event = Synced(link, self.unproven.take_lost())
+                self.unacknowledged.link_lost(clock())
+                self.send(RequestSync(self.link))
+            case GaugesRead():
+                self.unacknowledged.acknowledge(clock())
+            case ProcessorSynced(link):
+                event = ProcessorSynced(link, self.unacknowledged.take_possibly_lost())
         if event is not None:
-            await post(self.desk, event)
+            await post(self.dispatcher, event)
--- a/thymeyoke/server/socket_reader.py
+++ b/thymeyoke/server/socket_reader.py
@@ -7,25 +7,27 @@
 
 import anyio
 
-from thymeyoke.server.routers_wire import CHUNK
+from thymeyoke.runtime.msgpack_rpc import READ_BYTES
 
 
-class Receiver:
+class SocketReader:
     """Reads a socket as bytes come, one chunk ahead of the task that takes them.
 
     The event loop watches the socket for as long as it is read: `anyio.wait_readable` registers it anew for
-    each read, at the cost of two system calls. A chunk that waits to be taken is seen by `empty`; behind it
-    nothing more is read, so that a task which is held up holds up its own client.
+    each read, at the cost of two system calls. A chunk that waits to be taken is seen by `is_empty`; behind
+    it nothing more is read, so that a task which is held up holds up its own client.
     """
 
     def __init__(self, source: socket.socket) -> None:
-        self.source = source
+        """Watch the socket from the first `take` on."""
+        self.socket = source
         self.chunk: bytes | OSError | None = None  # read and not yet taken
         self.arrived = anyio.Event()
-        self.watched = False
+        self.is_watched = False
 
     @property
-    def empty(self) -> bool:
+    def is_empty(self) -> bool:
+        """Whether no chunk waits to be taken."""
         return self.chunk is None
 
     async def take(self) -> bytes:
@@ -41,22 +43,22 @@
 
     def stop(self) -> None:
         """Read no more. To be called before the socket is closed."""
-        if self.watched:
-            self.watched = False
-            asyncio.get_running_loop().remove_reader(self.source)
+        if self.is_watched:
+            self.is_watched = False
+            asyncio.get_running_loop().remove_reader(self.socket)
 
     def _watch(self) -> None:
-        if self.source.fileno() < 0:  # closed before its task began
+        if self.socket.fileno() < 0:  # closed before its task began
             raise ConnectionAbortedError("the connection is closed")
-        if not self.watched:
-            self.watched = True
-            asyncio.get_running_loop().add_reader(self.source, self._readable)
+        if not self.is_watched:
+            self.is_watched = True
+            asyncio.get_running_loop().add_reader(self.socket, self._on_readable)
 
-    def _readable(self) -> None:
+    def _on_readable(self) -> None:
         if self.chunk is not None:
             return self.stop()
         try:
-            self.chunk = self.source.recv(CHUNK)
+            self.chunk = self.socket.recv(READ_BYTES)
         except BlockingIOError:
             return
         except OSError as error:
--- a/thymeyoke/simulator/__init__.py
+++ b/thymeyoke/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The drill: the bench's wire on standard input and output, spoken to the decisions through the port."""
+"""The adapter between admission control and the simulator's wire."""
--- a/thymeyoke/simulator/wire.py
+++ b/thymeyoke/simulator/wire.py
@@ -1,4 +1,7 @@
-"""The wire's words and units against the port's. Nothing is decided here."""
+"""The simulator's wire: names and units of its events and actions, to and from those of admission control.
+
+Nothing is decided here. Times on the wire are whole microseconds.
+"""
 
 from __future__ import annotations
 
@@ -6,76 +9,110 @@
 from math import ceil
 from typing import Any
 
-from thymeyoke.admission import actions, settings
-from thymeyoke.configuration.start_file import MICRO
+from thymeyoke.admission import actions
+from thymeyoke.admission.controller import AdmissionController
+from thymeyoke.admission.events import Outcome, Request
+from thymeyoke.configuration.start_file import SECONDS_PER_MICROSECOND
 
 OUTCOMES = {
-    "pass": settings.Outcome.OK,
-    "fault": settings.Outcome.ERROR,
-    "no_room": settings.Outcome.FULL,
-    "too_slow": settings.Outcome.TIMEOUT,
-    "no_route": settings.Outcome.UNREACHED,
-    "cut": settings.Outcome.CUT,
-    "undone": settings.Outcome.STOPPED,
-    "stale_send": settings.Outcome.MOOT,
+    "pass": Outcome.OK,
+    "fault": Outcome.ERROR,
+    "no_room": Outcome.REJECTED,
+    "too_slow": Outcome.TIMEOUT,
+    "no_route": Outcome.UNREACHABLE,
+    "cut": Outcome.CONNECTION_LOST,
+    "undone": Outcome.STOPPED,
+    "stale_send": Outcome.NOT_STARTED,
 }
-HINTED, FURTHER, WRITE = 1, 2, 4  # the bits of an op's `state_bits`
+HAS_WORK_HINT, IS_RETRY, IS_WRITE = 1, 2, 4  # the bits of a request's `state_bits`
 ORDER_LENGTH = 14  # name, instance and twelve values
+ROUNDING_MICROSECONDS = 1e-3  # a sum of floats may be this much above a whole number
+
+Row = list[Any]
 
 
-def micros(seconds: float) -> int:
-    return ceil(seconds * 1e6 - 1e-3)
+def to_microseconds(seconds: float) -> int:
+    """Whole microseconds, rounded up."""
+    return ceil(seconds * 1e6 - ROUNDING_MICROSECONDS)
 
 
-def op(row: list[Any]) -> settings.Op:
-    """An `Order` line as an op; values that are missing at its end are absent."""
+def decode_request(row: Row) -> Request:
+    """An `Order` line; values that are missing at its end are absent."""
     if len(row) < ORDER_LENGTH:
         row = row + [None] * (ORDER_LENGTH - len(row))
-    bits = row[7] or 0
-    return settings.Op(
-        row[2],
-        row[3] or 0,
-        row[4] or 0,
-        row[5] or 0.0,
-        row[6],
-        (row[9] or 0) * MICRO if bits & HINTED else 0.0,
-        bool(bits & FURTHER),
-        bool(bits & WRITE),
-        row[8] or None,
-        row[10] or 0.0,
-        (row[11] or 0) * MICRO,
-        row[12] or 0,
-        (row[13] or 0) * MICRO,
+    _, _, id, lane, realm, size, subject, bits, original, hint, precedence, time_left, sender, unread = row[
+        :ORDER_LENGTH
+    ]
+    bits = bits or 0
+    return Request(
+        id=id,
+        class_index=lane or 0,
+        tenant=realm or 0,
+        size=size or 0.0,
+        subject=subject,
+        work_hint=(hint or 0) * SECONDS_PER_MICROSECOND if bits & HAS_WORK_HINT else 0.0,
+        is_retry=bool(bits & IS_RETRY),
+        is_write=bool(bits & IS_WRITE),
+        original_id=original or None,
+        priority=precedence or 0.0,
+        time_left=(time_left or 0) * SECONDS_PER_MICROSECOND,
+        client=sender or 0,
+        queueing_delay=(unread or 0) * SECONDS_PER_MICROSECOND,
     )
 
 
-def event(yoke: Any, now: float, row: list[Any]) -> None:
-    """Hand one event line to the instance that it is for."""
-    EVENTS[row[0]](yoke, now, row)
+def apply_event(controller: AdmissionController, now: float, row: Row) -> None:
+    """Report one event line to the instance that it is for."""
+    EVENTS[row[0]](controller, now, row)
+
+
+def encode_action(instance: int, action: actions.Action) -> Row:
+    """The line of an action."""
+    return ACTIONS[type(action)](instance, action)
+
+
+def _call_ended(controller: AdmissionController, now: float, row: Row) -> None:
+    took = (row[3] or 0) * SECONDS_PER_MICROSECOND
+    controller.call_ended(now, row[2], OUTCOMES[row[4]], took)
+
+
+def _timer_expired(controller: AdmissionController, now: float, row: Row) -> None:
+    gauges = row[3] if len(row) > 3 else None
+    controller.timer_expired(now, row[2], gauges or ())
+
+
+def _shutdown_announced(controller: AdmissionController, now: float, row: Row) -> None:
+    controller.shutdown_announced(now, (row[2] or 0) * SECONDS_PER_MICROSECOND)
 
 
-EVENTS: dict[str, Callable[[Any, float, list[Any]], None]] = {
-    "Order": lambda yoke, now, row: yoke.take(now, op(row)),
-    "RunOver": lambda yoke, now, row: yoke.ended(now, row[2], OUTCOMES[row[3]]),
-    "Blocked": lambda yoke, now, row: yoke.blocked(now, row[2]),
-    "Called": lambda yoke, now, row: yoke.called(now, row[2], OUTCOMES[row[4]], (row[3] or 0) * MICRO),
-    "Aborted": lambda yoke, now, row: yoke.gone(now, row[2]),
-    "Wakeup": lambda yoke, now, row: yoke.woke(now, row[2], (row[3] if len(row) > 3 else None) or ()),
-    "TerminateSoon": lambda yoke, now, row: yoke.leave(now, (row[2] or 0) * MICRO),
+EVENTS: dict[str, Callable[[AdmissionController, float, Row], None]] = {
+    "Order": lambda controller, now, row: controller.submit(now, decode_request(row)),
+    "RunOver": lambda controller, now, row: controller.run_ended(now, row[2], OUTCOMES[row[3]]),
+    "Blocked": lambda controller, now, row: controller.waits_for_dependency(now, row[2]),
+    "Called": _call_ended,
+    "Aborted": lambda controller, now, row: controller.client_gone(now, row[2]),
+    "Wakeup": _timer_expired,
+    "TerminateSoon": _shutdown_announced,
 }
-ACTIONS: dict[type, Callable[[int, Any], list[Any]]] = {
-    actions.Run: lambda i, act: ["Begin", i, act.id],
-    actions.Nack: lambda i, act: ["SayNo", i, act.id, act.nowhere_else, micros(act.wait)],
-    actions.Fail: lambda i, act: ["FinishError", i, act.id],
-    actions.Pause: lambda i, act: ["Suspend", i, act.id],
-    actions.Reuse: lambda i, act: ["Echo", i, act.id],
-    actions.Call: lambda i, act: ["CallDep", i, act.id, micros(act.until)],
-    actions.GoOn: lambda i, act: ["GoOn", i, act.id],
-    actions.Keep: lambda i, act: ["Retain", i, act.id, micros(act.span)],
-    actions.Forget: lambda i, act: ["DropKey", i, act.id],
-    actions.Say: lambda i, act: ["Say", i, act.value],
-    actions.Health: lambda i, act: ["Fitness", i, act.from_store, act.fit],
-    actions.Trim: lambda i, act: ["TrimAfter", i, micros(act.span)],
-    actions.Wake: lambda i, act: ["WakeMe", i, act.mark, micros(act.span)],
-    actions.Note: lambda i, act: ["Remark", i, act.text],
+ACTIONS: dict[type, Callable[[int, Any], Row]] = {
+    actions.Run: lambda i, action: ["Begin", i, action.id],
+    actions.Reject: lambda i, action: [
+        "SayNo",
+        i,
+        action.id,
+        action.is_terminal,
+        to_microseconds(action.retry_after),
+    ],
+    actions.Fail: lambda i, action: ["FinishError", i, action.id],
+    actions.Stop: lambda i, action: ["Suspend", i, action.id],
+    actions.ReuseResult: lambda i, action: ["Echo", i, action.id],
+    actions.CallDependency: lambda i, action: ["CallDep", i, action.id, to_microseconds(action.deadline)],
+    actions.ContinueDegraded: lambda i, action: ["GoOn", i, action.id],
+    actions.RetainKey: lambda i, action: ["Retain", i, action.id, to_microseconds(action.span)],
+    actions.ReleaseKey: lambda i, action: ["DropKey", i, action.id],
+    actions.PublishSignal: lambda i, action: ["Say", i, action.value],
+    actions.ReportHealth: lambda i, action: ["Fitness", i, action.from_store, action.is_healthy],
+    actions.SetIdleTimeout: lambda i, action: ["TrimAfter", i, to_microseconds(action.span)],
+    actions.SetTimer: lambda i, action: ["WakeMe", i, action.mark, to_microseconds(action.span)],
+    actions.LogNote: lambda i, action: ["Remark", i, action.text],
 }
--- a/thymeyoke/slow_start/backoff.py
+++ b/thymeyoke/slow_start/backoff.py
@@ -1,9 +1,8 @@
-"""Calls that have no leave yet, and which calls are repeats. Pure; calls are opaque here.
+"""Dependency calls that wait for the rate limiter, and which calls are retries. Pure; calls are opaque here.
 
-First tries wait for the pace alone, repeats for the budget as well: none holds up the others. Each of the two
-lines is oldest first, but for those whose time is nearly over. A line that is as long as its calls may wait
-would else send each one just before that, to come back in time to nobody, and a sound database would look
-like one in trouble for good.
+First attempts wait for the rate limiter alone, retries also for the retry budget, and neither blocks the
+other. Each of the two queues is oldest first, except for calls whose deadline is too near: in a queue as long
+as its calls may wait, each call would otherwise be sent just before its deadline and answered too late.
 """
 
 from __future__ import annotations
@@ -13,108 +12,121 @@
 from math import inf
 from typing import Generic, NamedTuple, TypeVar
 
-from thymeyoke.slow_start.retry_budget import Budget
+from thymeyoke.slow_start.retry_budget import RetryBudget
 
-MOST = 4096  # calls that wait; ids that are remembered as failed
+MAX_ENTRIES = 4096  # waiting calls, and remembered ids of failed calls
 
-What = TypeVar("What")
+Call = TypeVar("Call")
 
 
-class Waiting(NamedTuple, Generic[What]):
-    turn: int
+class WaitingCall(NamedTuple, Generic[Call]):
+    """A call without a token; times in seconds."""
+
+    sequence: int
     since: float
-    until: float  # its time is over then
-    what: What
+    deadline: float
+    call: Call
 
-    def spent(self, now: float, need: float) -> bool:
-        """Whether less time is left than a call takes, half of its own at most: a slow one is tried too."""
-        return self.until < now + min(need, (self.until - self.since) / 2)
+    def is_expired(self, now: float, min_time_left: float) -> bool:
+        """Whether less time is left than a call takes, but at most half of its own time."""
+        return self.deadline < now + min(min_time_left, (self.deadline - self.since) / 2)
 
 
-class Waits(Generic[What]):
-    """Emptied as calls go out, are given up, or their time passes: whoever adds one drops it then."""
+class CallBacklog(Generic[Call]):
+    """The waiting calls; whoever adds one also drops it when it is cancelled or its deadline passes."""
 
-    def __init__(self, most: int = MOST) -> None:
-        self.most, self.turns = most, count()
-        self.firsts: OrderedDict[str, Waiting[What]] = OrderedDict()
-        self.repeats: OrderedDict[str, Waiting[What]] = OrderedDict()
-        self.spent: list[What] = []  # whose turn came too late; emptied by who asked for the next one
+    def __init__(self, max_calls: int = MAX_ENTRIES) -> None:
+        self.max_calls, self.sequence = max_calls, count()
+        self.first_attempts: OrderedDict[str, WaitingCall[Call]] = OrderedDict()
+        self.retries: OrderedDict[str, WaitingCall[Call]] = OrderedDict()
+        self.expired: list[Call] = []  # reached too late; emptied by the caller of `take_next`
 
     def __len__(self) -> int:
-        return len(self.firsts) + len(self.repeats)
+        return len(self.first_attempts) + len(self.retries)
 
-    def add(self, now: float, id: str, what: What, repeat: bool, until: float = inf) -> bool:
-        """Whether there was room, and none under this id."""
-        if len(self) >= self.most or self.get(id) is not None:
+    def add(self, now: float, id: str, call: Call, is_retry: bool, deadline: float = inf) -> bool:
+        """Add a call; False where the backlog is full or has one under this id."""
+        if len(self) >= self.max_calls or self.get(id) is not None:
             return False
-        (self.repeats if repeat else self.firsts)[id] = Waiting(next(self.turns), now, until, what)
+        (self.retries if is_retry else self.first_attempts)[id] = WaitingCall(
+            next(self.sequence), now, deadline, call
+        )
         return True
 
-    def get(self, id: str) -> What | None:
-        found = self.firsts.get(id) or self.repeats.get(id)
-        return found and found.what
-
-    def drop(self, id: str) -> What | None:
-        found = self.firsts.pop(id, None) or self.repeats.pop(id, None)
-        return found and found.what
-
-    def all(self) -> list[What]:
-        """Take all of them, the first tries first."""
-        found = [one.what for line in (self.firsts, self.repeats) for one in line.values()]
-        self.firsts.clear()
-        self.repeats.clear()
+    def get(self, id: str) -> Call | None:
+        """The waiting call under this id."""
+        found = self.first_attempts.get(id) or self.retries.get(id)
+        return found and found.call
+
+    def drop(self, id: str) -> Call | None:
+        """Remove and return the call under this id."""
+        found = self.first_attempts.pop(id, None) or self.retries.pop(id, None)
+        return found and found.call
+
+    def take_all(self) -> list[Call]:
+        """Remove and return all calls, first attempts first."""
+        queues = (self.first_attempts, self.retries)
+        found = [waiting.call for queue in queues for waiting in queue.values()]
+        self.first_attempts.clear()
+        self.retries.clear()
         return found
 
-    def next(self, now: float, budget: Budget, need: float = 0.0) -> What | None:
-        """Take the oldest that may go and has `need` seconds left; a repeat is booked. Those before it are
-        `spent`: they are over, as never run."""
+    def take_next(self, now: float, budget: RetryBudget, min_time_left: float = 0.0) -> Call | None:
+        """Remove and return the oldest call that may go out and has enough time left.
+
+        A retry is charged to the budget. The calls before it that had too little time are put into `expired`.
+        """
         while True:
-            lines = [self.firsts] if self.firsts else []
-            if self.repeats and budget.has(now):
-                lines.append(self.repeats)
-            if not lines:
+            queues = [self.first_attempts] if self.first_attempts else []
+            if self.retries and budget.can_retry(now):
+                queues.append(self.retries)
+            if not queues:
                 return None
-            line = min(lines, key=lambda line: next(iter(line.values())).turn)
-            one = line.popitem(last=False)[1]
-            if one.spent(now, need):
-                self.spent.append(one.what)
+            queue = min(queues, key=lambda queue: next(iter(queue.values())).sequence)
+            waiting = queue.popitem(last=False)[1]
+            if waiting.is_expired(now, min_time_left):
+                self.expired.append(waiting.call)
                 continue
-            if line is self.repeats:
+            if queue is self.retries:
                 budget.take(now)
-            return one.what
+            return waiting.call
 
-    def age(self, now: float) -> float:
-        """Seconds that the oldest first try has waited; 0 where none does."""
-        return now - next(iter(self.firsts.values())).since if self.firsts else 0.0
+    def oldest_age(self, now: float) -> float:
+        """How long the oldest first attempt has waited, in seconds; 0 where none waits."""
+        return now - next(iter(self.first_attempts.values())).since if self.first_attempts else 0.0
 
-    def when(self, now: float, budget: Budget) -> float:
-        """From when on one may go, as far as the budget is concerned; never where none waits."""
-        if self.firsts:
+    def next_at(self, now: float, budget: RetryBudget) -> float:
+        """The earliest time at which the retry budget lets a call go out; infinity where none waits."""
+        if self.first_attempts:
             return now
-        return budget.when(now) if self.repeats else float("inf")
+        return budget.next_retry_at(now) if self.retries else float("inf")
 
 
-class Failed:
-    """Ids whose last call failed: the next one under such an id is a repeat. Emptied by that call's success,
-    and after `within` seconds, the longest that an op can ask again."""
+class FailedCalls:
+    """Ids of calls that failed: the next call under such an id is a retry.
 
-    def __init__(self, within: float, most: int = MOST) -> None:
-        self.within, self.most = within, most
-        self.until: OrderedDict[str, float] = OrderedDict()
+    An id is removed by a success, and after the TTL, the longest time in which a request can call again.
+    """
 
-    def __contains__(self, id: str) -> bool:
-        return id in self.until
-
-    def note(self, now: float, id: str) -> None:
-        self.until.pop(id, None)
-        if len(self.until) >= self.most:
-            self.until.popitem(last=False)
-        self.until[id] = now + self.within
+    def __init__(self, ttl: float, max_entries: int = MAX_ENTRIES) -> None:
+        self.ttl, self.max_entries = ttl, max_entries
+        self.expires_at: OrderedDict[str, float] = OrderedDict()
 
-    def worked(self, id: str) -> None:
-        self.until.pop(id, None)
-
-    def forget(self, now: float) -> None:
-        """Those whose time has passed."""
-        while self.until and next(iter(self.until.values())) <= now:
-            self.until.popitem(last=False)
+    def __contains__(self, id: str) -> bool:
+        return id in self.expires_at
+
+    def add(self, now: float, id: str) -> None:
+        """Note a failed call; the oldest id makes room where there is none."""
+        self.expires_at.pop(id, None)
+        if len(self.expires_at) >= self.max_entries:
+            self.expires_at.popitem(last=False)
+        self.expires_at[id] = now + self.ttl
+
+    def remove(self, id: str) -> None:
+        """Forget an id, if it is known."""
+        self.expires_at.pop(id, None)
+
+    def expire(self, now: float) -> None:
+        """Forget the ids whose TTL is over."""
+        while self.expires_at and next(iter(self.expires_at.values())) <= now:
+            self.expires_at.popitem(last=False)
--- a/thymeyoke/slow_start/connector.py
+++ b/thymeyoke/slow_start/connector.py
@@ -1,8 +1,9 @@
-"""When the link to the processor is tried again, and whether a start is slow or has failed. Pure.
+"""When to reconnect to the processor, and whether its start is slow or has failed. Pure.
 
-The processor may come up long after the app server: then the link is taken and `hi` waits. Such a start is
-slow, and nothing more is to be done for it than to hold the link. One whose link is refused, or closed before
-`hi` each time, for long, has failed: it is still tried, at the floor, and leaves the budget to the others.
+The processor may come up long after the app server: then it accepts the connection and its ready message
+comes later. Such a start is slow, and the connection is kept. A start whose connection is refused for long,
+or closed each time before the ready message, has failed: it is still retried, at the longest pause and
+without taking from the retry budget.
 """
 
 from __future__ import annotations
@@ -10,61 +11,70 @@
 from enum import Enum
 from random import Random
 
-from thymeyoke.slow_start.retry_budget import Budget
+from thymeyoke.slow_start.retry_budget import RetryBudget
 
-FIRST, LAST = 0.02, 0.5  # seconds between tries to connect; the last is the floor, and needs no budget
-DOUBLINGS = 16  # of a pause at the most: far past LAST, and far below what a float holds
-PATIENCE = 10.0  # seconds: a start that is neither up nor held for so long has failed
+FIRST_BACKOFF_SECONDS = 0.02
+MAX_BACKOFF_SECONDS = 0.5  # a pause of this length needs no budget
+MAX_DOUBLINGS = 16  # of a pause: keeps the power within a float
+START_TIMEOUT_SECONDS = 10.0  # without a connection or a ready message: the start has failed
 
 
-class Standing(Enum):
-    COMING = "coming"  # too soon to tell
-    SLOW = "slow"  # the link is held, and the processor has not said that it is up
-    UP = "up"
+class ConnectorStatus(Enum):
+    """How far the processor's start has come."""
+
+    CONNECTING = "connecting"  # within the start timeout
+    SLOW = "slow"  # connected, without a ready message
+    READY = "ready"
     FAILED = "failed"
 
 
-class Link:
-    """One process's tries to reach its processor. Pauses are at most LAST, and at least half of FIRST."""
+class Connector:
+    """The attempts of one process to reach its processor."""
 
-    def __init__(self, now: float, rng: Random, budget: Budget) -> None:
+    def __init__(self, now: float, rng: Random, budget: RetryBudget) -> None:
         self.rng, self.budget = rng, budget
-        self.failures = 0  # in a row; the processor's `hi` ends it
-        self.held = self.hi = False
-        self.since = now  # when it was up last, or began
-
-    def standing(self, now: float) -> Standing:
-        if self.hi:
-            return Standing.UP
-        if now < self.since + PATIENCE:
-            return Standing.COMING
-        return Standing.SLOW if self.held else Standing.FAILED
-
-    def taken(self, now: float) -> None:
-        self.held = True
-
-    def up(self, now: float) -> None:
-        self.hi = True
-        self.failures, self.since = 0, now
-
-    def refused(self, now: float) -> float:
-        """Not connected; seconds until the next try."""
+        self.failures = 0  # in a row, until a ready message
+        self.is_connected = self.is_ready = False
+        self.ready_at = now  # when it was ready last, or this object was made
+
+    def status(self, now: float) -> ConnectorStatus:
+        """How far the processor's start has come."""
+        if self.is_ready:
+            return ConnectorStatus.READY
+        if now < self.ready_at + START_TIMEOUT_SECONDS:
+            return ConnectorStatus.CONNECTING
+        return ConnectorStatus.SLOW if self.is_connected else ConnectorStatus.FAILED
+
+    def connected(self, now: float) -> None:
+        """Note that the processor accepted the connection."""
+        self.is_connected = True
+
+    def ready(self, now: float) -> None:
+        """Note the processor's ready message."""
+        self.is_ready = True
+        self.failures, self.ready_at = 0, now
+
+    def connect_failed(self, now: float) -> float:
+        """Note that a connect failed; returns the seconds until the next one."""
         self.failures += 1
         return self._pause(now)
 
-    def lost(self, now: float) -> float:
-        """The link ended; seconds until the next try. After a `hi` that one is a first try, and free."""
-        if self.hi:
-            self.since = now
+    def connection_lost(self, now: float) -> float:
+        """Note that the connection ended; returns the seconds until the next connect.
+
+        After a ready message that connect is a first attempt, and needs no budget.
+        """
+        if self.is_ready:
+            self.ready_at = now
         else:
             self.failures += 1
-        self.held = self.hi = False
+        self.is_connected = self.is_ready = False
         return self._pause(now)
 
     def _pause(self, now: float) -> float:
         if not self.failures:
-            return FIRST
-        top = min(LAST, FIRST * 2.0 ** min(self.failures, DOUBLINGS))
-        if self.standing(now) is Standing.FAILED or not self.budget.take(now):
-            return self.rng.uniform(LAST / 2, LAST)
-        return self.rng.uniform(FIRST / 2, top)
+            return FIRST_BACKOFF_SECONDS
+        longest = min(MAX_BACKOFF_SECONDS, FIRST_BACKOFF_SECONDS * 2.0 ** min(self.failures, MAX_DOUBLINGS))
+        if self.status(now) is ConnectorStatus.FAILED or not self.budget.take(now):
+            return self.rng.uniform(MAX_BACKOFF_SECONDS / 2, MAX_BACKOFF_SECONDS)
+        return self.rng.uniform(FIRST_BACKOFF_SECONDS / 2, longest)
--- a/thymeyoke/slow_start/rate_limiter.py
+++ b/thymeyoke/slow_start/rate_limiter.py
@@ -1,234 +1,277 @@
-"""How many calls and connections below go out a second. Pure: moments and outcomes in, leave out.
+"""The rate limiter for calls to the dependency and for new connections to it. Pure.
 
-While all is well the pace is open: every call has leave, and nothing is booked but its number. Answers that
-tell of a database in trouble close it to a rate, which bad ones cut and good ones raise, until nothing waits
-for leave any more.
+While the dependency is healthy the limiter is open: calls need no token and are only counted. Answers that
+show faults close it to a rate, which further faults cut and good answers raise, until no call waits for a
+token.
 """
 
 from __future__ import annotations
 
 from random import Random
-from typing import Any, NamedTuple
-
-from thymeyoke.admission.settings import Below, Dependency, Machine, Outcome, Survival
-
-CATCH = 1.2  # of the usual rate: no more while it is closed, so that nothing is made up for in one go
-NEWS = 8.0  # seconds without trouble: what waits then is new, and the cap grows by a usual rate in as long
-LEARN = 4.0  # seconds in which the usual rate comes to be what is asked for, while the pace is closed
-CUT = 0.5  # of the rate, at most once a span
-RISE = 1.0  # seconds of good answers in which the rate rises by the usual one
-LEAST = 1 / 8  # of the usual rate, and one a span: the floor, which always probes
-SPAN = 0.9  # seconds: between two cuts; without trouble or waiting until the pace opens
-SHARE = 0.25  # of the recent answers being bad, the database is in trouble:
-COLD_SIGNS, SIGNS = 1.0, 4.0  # from so many on while cold, and while warm (of few calls, from half of them)
-LIGHT = 0.5  # of a sign: what one lost connection or one slow run may be the cause of
-SLOW = 5.0  # times the usual time of a call
-NEW = 0.2  # weight of the newest call in the recent time of calls
-HISTORY = 2.0  # seconds of calls that make the usual rate, and of answers that tell of trouble
-LASTING = 4 * HISTORY  # seconds of calls that make it as well; a pause counts no more than a look
-LOOK = 0.25  # seconds between looks
-CONNECT = 2.0  # calls that one counts as, which opens a connection
-LONG = 0.1  # seconds that a call may wait for leave, and the pace opens all the same
+from typing import NamedTuple
+
+from thymeyoke.admission.events import Outcome
+from thymeyoke.admission.settings import AdmissionSettings, DependencyKind
+
+CAP_FACTOR = 1.2  # of the usual rate: the cap while closed, so that a backlog is not worked off at once
+CAP_GROWTH_SECONDS = 8.0  # without faults, until the cap grows; then by one usual rate in this time
+USUAL_RATE_LEARNING_SECONDS = 4.0  # in which a closed limiter's usual rate follows the demand
+CUT_FACTOR = 0.5  # of the rate, at each cut
+RISE_SECONDS = 1.0  # of good answers, in which the rate rises by the usual rate
+FLOOR_FACTOR = 1 / 8  # of the usual rate: the least rate, which always probes
+QUIET_SECONDS = 0.9  # between two cuts, and without faults or long waits until the limiter opens
+FAULT_SHARE = 0.25  # of the recent answers being faults, the dependency is in trouble
+COLD_CUT_SIGNS = 1.0  # signs of faults for a cut, until the dependency is proven healthy
+WARM_CUT_SIGNS = 4.0  # and from then on; with few calls, half of them
+LIGHT_SIGN = 0.5  # of a sign: for an answer that a single lost connection or slow run explains
+SLOW_FACTOR = 5.0  # times the usual time of a call
+NEWEST_WEIGHT = 0.2  # of the newest call in the recent time of calls
+HISTORY_SECONDS = 2.0  # of calls for the recent rate, and of answers for the share of faults
+LONG_HISTORY_SECONDS = 4 * HISTORY_SECONDS  # of calls for the long rate, where a pause counts as one tick
+MIN_BATCH_SECONDS = 0.001  # between two batches of events
+TICK_SECONDS = 0.25  # between two calls of `tick` that count
+CONNECT_COST = 2.0  # tokens for a call that opens a connection
+LONG_WAIT_SECONDS = 0.1  # that a call may wait for a token when the limiter opens
 JITTER = 0.5  # of a token
-WHOLE = 1 - 1e-6  # of a token: sums of fractions are short of one
+WHOLE_TOKEN = 1 - 1e-6  # sums of fractions are a little short of one
 
-BAD = {Outcome.FULL: 1.0, Outcome.UNREACHED: 1.0, Outcome.CUT: LIGHT, Outcome.TIMEOUT: LIGHT}
+SIGNS_BY_OUTCOME = {
+    Outcome.REJECTED: 1.0,
+    Outcome.UNREACHABLE: 1.0,
+    Outcome.CONNECTION_LOST: LIGHT_SIGN,
+    Outcome.TIMEOUT: LIGHT_SIGN,
+}
 
 
-class Terms(NamedTuple):
-    """What is told at the start, as far as it bears on calls. Seconds."""
+class RateLimits(NamedTuple):
+    """The settings that bear on the rate of calls; times in seconds."""
 
-    at_once: float = 64.0  # calls that may be out at one moment, by all that is told
-    sure: float = 8.0  # of them, those that the database surely takes: the part told, or one a core
+    max_concurrency: float = 64.0  # calls in flight at one moment, at most
+    sure_concurrency: float = 8.0  # of them, those that the dependency takes for certain
     tick: float = 0.001  # between two batches of events: calls go out in batches
-    target: float = 1.0  # the shortest target latency: a call that takes longer is of no use
-    timeout: float = 4.0  # the longest op timeout
+    latency_objective: float = 1.0  # the shortest of all request classes
+    client_timeout: float = 4.0  # the longest of all request classes
 
     @property
-    def top(self) -> float:
-        """Calls a second that the decisions could ever let out: with this nothing changes."""
-        return self.at_once / self.tick
+    def max_rate(self) -> float:
+        """Calls a second that admission control can start at most: this rate is no limit."""
+        return self.max_concurrency / self.tick
 
     @property
-    def fair(self) -> float:
-        """Calls a second that keep to that though each took all of a target."""
-        return self.sure / self.target
-
-
-def terms(given: dict[str, Any]) -> Terms:
-    """From what the decisions are handed at the start (`start.start`)."""
-    machine: Machine = given["machine"]
-    survival: Survival = given["survival"]
-    below: Dependency = given["dependency"]
-    crowd = machine.cores * max(1.0, survival.crowd)  # each op on the cores has one call out at most
-    shared = below.kind is Below.SHARED and below.fair_calls > 0
-    return Terms(
-        at_once=max(1.0, min(crowd, below.fair_calls) if shared else crowd),
-        sure=below.fair_calls if shared else float(machine.cores),
-        tick=max(machine.tick, 0.001),
-        target=min((kind.target for kind in given["op_types"]), default=1.0) or 1.0,
-        timeout=max((kind.timeout for kind in given["op_types"]), default=4.0),
+    def fair_rate(self) -> float:
+        """Calls a second that keep to `sure_concurrency` though each takes a whole latency objective."""
+        return self.sure_concurrency / self.latency_objective
+
+
+def rate_limits(settings: AdmissionSettings) -> RateLimits:
+    """The limits that follow from an app server's settings."""
+    machine, dependency = settings.machine, settings.dependency
+    # Each request on the cores has one call in flight at most.
+    max_running = machine.cores * max(1.0, settings.overload.max_concurrency)
+    is_shared = dependency.kind is DependencyKind.SHARED and dependency.fair_concurrency > 0
+    concurrency = min(max_running, dependency.fair_concurrency) if is_shared else max_running
+    classes = settings.request_classes
+    return RateLimits(
+        max_concurrency=max(1.0, concurrency),
+        sure_concurrency=dependency.fair_concurrency if is_shared else float(machine.cores),
+        tick=max(machine.tick, MIN_BATCH_SECONDS),
+        latency_objective=min(request_class.latency_objective for request_class in classes) or 1.0,
+        client_timeout=settings.longest_client_timeout,
     )
 
 
-class Pace:
-    """Ask `open` or `has` for leave and book what goes out with `spend`; tell what comes back with `heard`;
-    `look` four times a second. `cold` is the state's word that nothing below has been proven yet."""
-
-    def __init__(self, now: float, rng: Random, terms: Terms) -> None:
-        self.rng, self.terms, self.cold = rng, terms, True
-        self.rate = terms.top  # calls a second
-        self.tokens, self.at = 1.0, now  # booked only while it is not open
-        self.asked = 0  # first tries since the last look
-        self.good, self.bad = 0.0, 0.0  # recent answers; they fade
-        self.looked = self.shut_at = now
-        self.cut_at = self.good_at = self.bad_at = self.waited_at = float("-inf")
-        self.recent = self.lasting = self.kept = 0.0  # first tries a second: of late; in LASTING; when closed
-        self.asked_at = now
-        self.mean = self.time = terms.target / SLOW / 2  # of a call: of late; usually, the lowest mean
-        self.catch = CATCH  # of the usual rate: the cap
-        self.proven = False  # whether anything came back well since it was closed
+class CallRateLimiter:
+    """A token bucket that is closed only while the dependency shows faults.
+
+    Ask `is_open` or `has_token` before a call, `spend` a token as it goes out, and pass its outcome to
+    `call_ended`. Call `tick` four times a second. `is_cold` is set from outside while the dependency is not
+    proven healthy.
+    """
+
+    def __init__(self, now: float, rng: Random, limits: RateLimits) -> None:
+        self.rng, self.limits, self.is_cold = rng, limits, True
+        self.rate = limits.max_rate  # calls a second
+        self.tokens, self.filled_at = 1.0, now  # counted only while closed
+        self.first_attempts = 0  # since the last tick; the caller counts them
+        self.good_answers, self.fault_signs = 0.0, 0.0  # recent, and decaying
+        self.ticked_at = self.closed_at = now
+        self.cut_at = self.good_answer_at = self.fault_at = self.waited_at = float("-inf")
+        # First attempts a second: recently, over a longer time, and when the limiter closed.
+        self.recent_rate = self.long_rate = self.usual_when_closed = 0.0
+        self.first_attempts_at = now
+        # Seconds of a call: the recent mean, and the lowest mean so far, which rises slowly.
+        self.recent_call_time = self.usual_call_time = limits.latency_objective / SLOW_FACTOR / 2
+        self.cap_factor = CAP_FACTOR  # of the usual rate
+        self.is_proven = False  # whether a good answer came since it was closed
 
     @property
-    def open(self) -> bool:
-        return self.rate >= self.terms.top
+    def is_open(self) -> bool:
+        """Whether calls need no token."""
+        return self.rate >= self.limits.max_rate
 
     @property
-    def usual(self) -> float:
-        """Calls a second that are this process's own: what its ops ask for, or the part surely told."""
-        return max(max(self.recent, self.lasting) if self.open else self.kept, self.terms.fair)
+    def usual_rate(self) -> float:
+        """Calls a second that this process makes by itself, or its fair rate if that is more."""
+        demand = max(self.recent_rate, self.long_rate) if self.is_open else self.usual_when_closed
+        return max(demand, self.limits.fair_rate)
 
     @property
-    def need(self) -> float:
-        """Seconds in which a sound database answers: with less left a call would come back in time to nobody,
-        and its end would tell nothing."""
-        return SLOW * self.time
+    def min_time_left(self) -> float:
+        """Seconds in which a healthy dependency answers: a call with less time left is of no use."""
+        return SLOW_FACTOR * self.usual_call_time
 
     @property
-    def floor(self) -> float:
-        return max(1 / SPAN, LEAST * self.usual)
+    def min_rate(self) -> float:
+        """The least rate in calls a second."""
+        return max(1 / QUIET_SECONDS, FLOOR_FACTOR * self.usual_rate)
 
     @property
-    def cap(self) -> float:
-        return max(self.catch * self.usual, self.floor)
+    def rate_cap(self) -> float:
+        """The highest rate of a closed limiter, in calls a second."""
+        return max(self.cap_factor * self.usual_rate, self.min_rate)
 
-    def has(self, now: float) -> bool:
-        """Whether a call has leave now."""
-        if self.open:
+    def has_token(self, now: float) -> bool:
+        """Whether a call may go out now."""
+        if self.is_open:
             return True
-        self._fill(now)
-        return self.tokens >= WHOLE
-
-    def spend(self, connects: bool) -> None:
-        """A call goes out, on a new connection or on one that is there. What it costs is drawn: many that
-        were closed at one moment come apart."""
-        if not self.open:
-            self.tokens -= (CONNECT if connects else 1.0) * self.rng.uniform(1 - JITTER, 1 + JITTER)
-
-    def when(self, now: float) -> float:
-        """The moment at which the next call has leave, if nothing else happens."""
-        if self.open:
+        self._refill(now)
+        return self.tokens >= WHOLE_TOKEN
+
+    def spend(self, opens_connection: bool) -> None:
+        """Take the tokens of a call that goes out.
+
+        The cost is drawn, so that processes that closed at the same moment do not stay in step.
+        """
+        if not self.is_open:
+            cost = CONNECT_COST if opens_connection else 1.0
+            self.tokens -= cost * self.rng.uniform(1 - JITTER, 1 + JITTER)
+
+    def next_token_at(self, now: float) -> float:
+        """When the next call may go out, if nothing else happens."""
+        if self.is_open:
             return now
-        self._fill(now)
+        self._refill(now)
         return now + max(0.0, 1 - self.tokens) / self.rate
 
-    def _fill(self, now: float) -> None:
-        """Hardly more than one: what was not used is not made up for, but for what a late look costs."""
-        most = max(1.0, self.rate * LONG / 2)
-        self.tokens = min(most, self.tokens + max(0.0, now - self.at) * self.rate)
-        self.at = max(now, self.at)
+    def _refill(self, now: float) -> None:
+        """Add the tokens of the time since the last refill; unused ones do not add up to a burst."""
+        max_tokens = max(1.0, self.rate * LONG_WAIT_SECONDS / 2)
+        self.tokens = min(max_tokens, self.tokens + max(0.0, now - self.filled_at) * self.rate)
+        self.filled_at = max(now, self.filled_at)
 
-    def heard(self, now: float, outcome: Outcome, took: float) -> bool:
-        """What came of a call that went out; whether the rate was cut for it."""
-        sign = BAD.get(outcome, 0.0)
+    def call_ended(self, now: float, outcome: Outcome, took: float) -> bool:
+        """Note the outcome of a call, which took so many seconds; returns whether the rate was cut for it."""
+        sign = SIGNS_BY_OUTCOME.get(outcome, 0.0)
         if outcome is Outcome.OK:
-            sign = LIGHT if self._slow(took) else 0.0
+            sign = LIGHT_SIGN if self._is_slow(took) else 0.0
         if not sign:
-            self.good, self.good_at, self.proven = self.good + 1, now, True
+            self.good_answers, self.good_answer_at, self.is_proven = self.good_answers + 1, now, True
             return False
-        self.bad += sign
-        if self.bad < SHARE * (self.good + self.bad):
+        self.fault_signs += sign
+        if self.fault_signs < FAULT_SHARE * (self.good_answers + self.fault_signs):
             return False
-        self.bad_at = now
-        if self.bad < self._least() or now < self.cut_at + SPAN:
+        self.fault_at = now
+        if self.fault_signs < self._signs_for_cut() or now < self.cut_at + QUIET_SECONDS:
             return False
         self._cut(now)
         return True
 
-    def _slow(self, took: float) -> bool:
-        """Single calls differ too much: it is slow where those before it were as well."""
-        self.mean += NEW * (took - self.mean)
-        self.time = min(self.mean, self.time + NEW / 100 * (self.mean - self.time))
-        return min(took, self.mean) > SLOW * self.time
+    def _is_slow(self, took: float) -> bool:
+        """Whether this call and the recent ones are slow: single calls differ too much."""
+        self.recent_call_time += NEWEST_WEIGHT * (took - self.recent_call_time)
+        slow_rise = NEWEST_WEIGHT / 100 * (self.recent_call_time - self.usual_call_time)
+        self.usual_call_time = min(self.recent_call_time, self.usual_call_time + slow_rise)
+        return min(took, self.recent_call_time) > SLOW_FACTOR * self.usual_call_time
 
-    def _least(self) -> float:
-        """The signs that a cut takes."""
-        return COLD_SIGNS if self.cold else min(SIGNS, max(COLD_SIGNS, self.recent * HISTORY / 2))
+    def _signs_for_cut(self) -> float:
+        """How many signs of faults a cut takes."""
+        if self.is_cold:
+            return COLD_CUT_SIGNS
+        return min(WARM_CUT_SIGNS, max(COLD_CUT_SIGNS, self.recent_rate * HISTORY_SECONDS / 2))
 
     def _cut(self, now: float) -> None:
-        if self.open:
-            self._shut(now)
-        self.cut_at, self.proven = now, False
-        self.good = self.bad = 0.0  # the next cut needs signs of its own
-        self.rate = max(self.floor, CUT * min(self.rate, self.usual))
-
-    def _shut(self, now: float) -> None:
-        """From now on calls need a token. When the first one comes is drawn: many may be shut at once."""
-        self.kept, self.catch = max(self.recent, self.lasting), CATCH
-        self.rate = self.cap
-        self.tokens, self.at, self.shut_at = -self.rng.random(), now, now
+        if self.is_open:
+            self._close(now)
+        self.cut_at, self.is_proven = now, False
+        self.good_answers = self.fault_signs = 0.0  # the next cut needs new signs
+        self.rate = max(self.min_rate, CUT_FACTOR * min(self.rate, self.usual_rate))
+
+    def _close(self, now: float) -> None:
+        """Require tokens from now on; the time of the first is drawn, as many processes may close at once."""
+        self.usual_when_closed, self.cap_factor = max(self.recent_rate, self.long_rate), CAP_FACTOR
+        self.rate = self.rate_cap
+        self.tokens, self.filled_at, self.closed_at = -self.rng.random(), now, now
 
     def stalled(self, now: float) -> None:
-        """This process was held, as many may have been: what gathered meanwhile goes out at the usual rate,
-        from a moment of its own on. Time that it was held is none in which calls were asked for."""
-        self.looked = now
-        if self.open:
-            self._shut(now)
-            self._afresh()
-        self.tokens, self.at, self.waited_at = -self.rng.random(), now, now
-
-    def stood(self, span: float) -> None:
-        """Seconds went by that the clock did not tell, as it was set back. What waits goes out at the rate of
-        then, or a call would wait for hours before a sound database."""
-        self.at -= span
-
-    def moved(self, now: float) -> None:
-        """The database is elsewhere: what the old one answered tells nothing of the new one."""
-        if not self.open:
-            self._afresh()
-
-    def _afresh(self) -> None:
-        """At the usual rate, with nothing held against what lies below."""
-        self.rate, self.proven = min(self.cap, max(self.floor, self.usual)), True
-        self.good = self.bad = 0.0
-        self.cut_at = self.bad_at = float("-inf")
-
-    def look(self, now: float, age: float = 0.0) -> None:
-        """Raise the rate while answers are good; open once nothing is in trouble and nothing waits for long.
-        `age`: seconds that the oldest first try has waited for leave."""
-        if age > LONG:
+        """Note that this process was stopped, as many others may have been.
+
+        The calls that gathered go out at the usual rate, from a drawn time on. The time of the stop does not
+        count for the recent rate.
+        """
+        self.ticked_at = now
+        if self.is_open:
+            self._close(now)
+            self._reset()
+        self.tokens, self.filled_at, self.waited_at = -self.rng.random(), now, now
+
+    def clock_stalled(self, seconds: float) -> None:
+        """Count seconds that the clock did not show because it was set back.
+
+        Waiting calls would otherwise get no token until the clock has caught up.
+        """
+        self.filled_at -= seconds
+
+    def address_changed(self, now: float) -> None:
+        """Note a new address of the dependency: answers from the old one no longer count."""
+        if not self.is_open:
+            self._reset()
+
+    def _reset(self) -> None:
+        """Return to the usual rate, without any faults."""
+        self.rate, self.is_proven = min(self.rate_cap, max(self.min_rate, self.usual_rate)), True
+        self.good_answers = self.fault_signs = 0.0
+        self.cut_at = self.fault_at = float("-inf")
+
+    def tick(self, now: float, oldest_wait: float = 0.0) -> None:
+        """Raise the rate after good answers, and open where there are neither faults nor long waits.
+
+        `oldest_wait` is how long the oldest first attempt has waited for a token, in seconds.
+        """
+        if oldest_wait > LONG_WAIT_SECONDS:
             self.waited_at = now
-        span = now - self.looked
-        if span < LOOK:
+        elapsed = now - self.ticked_at
+        if elapsed < TICK_SECONDS:
             return
-        self.recent += min(1.0, span / HISTORY) * (self.asked / span - self.recent)
-        if self.asked:  # a pause tells nothing of how many are asked behind it
-            gap, self.asked_at = now - self.asked_at, now
-            part = gap if gap <= HISTORY else LOOK
-            self.lasting += part / LASTING * (self.asked / gap - self.lasting)
-        if not self.open:
-            self.catch = CATCH + max(0.0, (now - max(self.bad_at, self.shut_at)) / NEWS - 1)
-            # What gathered in a hold, or failed in a crowd, is asked for at once: it is not the usual rate.
-            self.kept += max(0.0, self.recent - self.kept) * min(1.0, span / LEARN)
-            if self.good_at >= self.looked > self.bad_at:
-                self.rate += self.usual / RISE * span
-            self.rate = min(self.cap, max(self.floor, self.rate))
-            if self.proven and now >= max(self.bad_at, self.waited_at, self.shut_at) + SPAN:
-                self.rate, self.kept = self.terms.top, 0.0
-        fade = max(0.0, 1 - span / HISTORY)
-        self.good, self.bad = self.good * fade, self.bad * fade
-        self.asked, self.looked = 0, now
-
-    def sound(self, now: float) -> bool:
-        """Nothing waits for leave, and nothing below was in trouble for a span, also the first of a life."""
-        return self.open and now >= max(self.bad_at, self.shut_at) + SPAN
+        self._update_demand(now, elapsed)
+        if not self.is_open:
+            self._adjust_rate(now, elapsed)
+        decay = max(0.0, 1 - elapsed / HISTORY_SECONDS)
+        self.good_answers, self.fault_signs = self.good_answers * decay, self.fault_signs * decay
+        self.first_attempts, self.ticked_at = 0, now
+
+    def _update_demand(self, now: float, elapsed: float) -> None:
+        """Update the rates of first attempts."""
+        weight = min(1.0, elapsed / HISTORY_SECONDS)
+        self.recent_rate += weight * (self.first_attempts / elapsed - self.recent_rate)
+        if not self.first_attempts:
+            return  # a pause shows nothing of the demand after it
+        gap, self.first_attempts_at = now - self.first_attempts_at, now
+        counted = gap if gap <= HISTORY_SECONDS else TICK_SECONDS
+        self.long_rate += counted / LONG_HISTORY_SECONDS * (self.first_attempts / gap - self.long_rate)
+
+    def _adjust_rate(self, now: float, elapsed: float) -> None:
+        """Update the rate and the cap of a closed limiter, and open it where the dependency is healthy."""
+        without_faults = now - max(self.fault_at, self.closed_at)
+        self.cap_factor = CAP_FACTOR + max(0.0, without_faults / CAP_GROWTH_SECONDS - 1)
+        # Slowly: calls that gathered in a stall, or are retried by many, are not the usual rate.
+        weight = min(1.0, elapsed / USUAL_RATE_LEARNING_SECONDS)
+        self.usual_when_closed += max(0.0, self.recent_rate - self.usual_when_closed) * weight
+        if self.good_answer_at >= self.ticked_at > self.fault_at:
+            self.rate += self.usual_rate / RISE_SECONDS * elapsed
+        self.rate = min(self.rate_cap, max(self.min_rate, self.rate))
+        if self.is_proven and now >= max(self.fault_at, self.waited_at, self.closed_at) + QUIET_SECONDS:
+            self.rate, self.usual_when_closed = self.limits.max_rate, 0.0
+
+    def is_healthy(self, now: float) -> bool:
+        """Whether the limiter is open and there were no faults for a while, counted from the start."""
+        return self.is_open and now >= max(self.fault_at, self.closed_at) + QUIET_SECONDS
--- a/thymeyoke/slow_start/retry_budget.py
+++ b/thymeyoke/slow_start/retry_budget.py
@@ -1,39 +1,41 @@
-"""One retry budget a process, shared by the list, the link and the database. Pure.
+"""One retry budget a process, shared by the registry, the processor's link and the dependency. Pure.
 
-What worked fills it, what is tried again draws on it; first tries are free. Within any span T with W that
-worked, at most size + FILL * W + T / PROBE + 1 repeats go out.
+What worked fills it, retries draw on it; first attempts are free. Within any span T with W that worked, at
+most size + REFILL_PER_SUCCESS * W + T / PROBE_SECONDS + 1 retries go out.
 """
 
 from __future__ import annotations
 
-FILL = 0.2  # of a repeat for each that worked: in the long run one repeat for five
-LEAST = 16.0  # repeats that a full budget holds at least
-PROBE = 2.0  # seconds after which one repeat is let through though nothing works: the floor
+REFILL_PER_SUCCESS = 0.2  # of a retry: in the long run one retry for five that worked
+MIN_SIZE = 16.0  # retries that a full budget holds at least
+PROBE_SECONDS = 2.0  # after which one retry is let through though nothing works
 
 
-class Budget:
-    """Moments are seconds of one clock that never steps back. `size` in repeats."""
+class RetryBudget:
+    """Moments are seconds of one clock that never steps back."""
 
-    def __init__(self, now: float, size: float = LEAST) -> None:
-        self.size = max(LEAST, size)
-        self.left, self.probe_at = self.size, now
+    def __init__(self, now: float, size: float = MIN_SIZE) -> None:
+        """`size`: retries that it holds when full."""
+        self.size = max(MIN_SIZE, size)
+        self.available, self.probe_at = self.size, now
 
-    def won(self) -> None:
+    def record_success(self) -> None:
         """Something worked."""
-        self.left = min(self.size, self.left + FILL)
+        self.available = min(self.size, self.available + REFILL_PER_SUCCESS)
 
-    def has(self, now: float) -> bool:
-        return self.left >= 1 or now >= self.probe_at
+    def can_retry(self, now: float) -> bool:
+        """Whether a retry may go out now."""
+        return self.available >= 1 or now >= self.probe_at
 
     def take(self, now: float) -> bool:
-        """Whether a repeat may go out now; it is booked if so."""
-        if not self.has(now):
+        """Whether a retry may go out now; it is accounted for if so."""
+        if not self.can_retry(now):
             return False
-        if self.left >= 1:
-            self.left -= 1
-        self.probe_at = now + PROBE
+        if self.available >= 1:
+            self.available -= 1
+        self.probe_at = now + PROBE_SECONDS
         return True
 
-    def when(self, now: float) -> float:
-        """The moment from which on one may, if nothing works until then."""
-        return now if self.left >= 1 else max(now, self.probe_at)
+    def next_retry_at(self, now: float) -> float:
+        """The moment from which on one may go out, if nothing works until then."""
+        return now if self.available >= 1 else max(now, self.probe_at)
