--- a/tests/app_server.py
+++ b/tests/app_server.py
@@ -252,12 +252,19 @@
         tasks.cancel_scope.cancel()
 
 
+def pieces(data: bytes) -> list[list[bytes]]:
+    """The data cut in two at every byte, and byte by byte."""
+    cuts = [[data[:at], data[at:]] for at in range(len(data))]
+    return [*cuts, [data[at : at + 1] for at in range(len(data))]]
+
+
 __all__ = [
     "KINDS",
     "TAKEN",
     "Place",
     "Server",
     "actions",
+    "pieces",
     "place",
     "settings",
     "steady",
--- a/thymeyoke/admission/concurrency.py
+++ b/thymeyoke/admission/concurrency.py
@@ -25,7 +25,7 @@
         return max(1.0, self.limit * QUOTA_SHARE)
 
     def ceiling(self, now: float) -> float:
-        """The concurrency that is surely survived: while warming up, by the least speed that is told."""
+        """The concurrency that the machine survives; while warming up, by its least speed."""
         overload, warmth = self.overload, 1.0
         if overload.starts_cold and now < self.started_at + overload.warm_up_timeout:
             warmed_up = (1 - overload.cold_speed_share) * (now - self.started_at) / overload.warm_up_timeout
--- a/thymeyoke/admission/connections.py
+++ b/thymeyoke/admission/connections.py
@@ -9,7 +9,7 @@
 class IdleTimeout:
     """Cuts the idle timeout while the server is saturated.
 
-    Each connection takes a part of the cores, and past a number that is told nowhere new clients get none. A
+    Each connection takes a part of the cores, and past an unknown number new clients get none. A
     connection that is closed costs a handshake when its client comes back.
     """
 
--- a/thymeyoke/admission/controller.py
+++ b/thymeyoke/admission/controller.py
@@ -30,7 +30,7 @@
 
 CALL_ATTEMPTS = 4  # of one dependency call, where it may be retried
 CALL_BACKOFF = 0.1  # of the latency objective: the first pause, which doubles
-SATURATED_WAIT = 0.5  # of the usual objective: the wait at which clients are told to hold back
+SATURATED_WAIT = 0.5  # of the usual objective: the wait at which clients are notified to back off
 CONNECTION_WAIT = 0.75  # of the usual objective: the wait at which idle connections are cut
 CONNECTION_READS = 2  # reads and handshakes a core, likewise
 TICKS_PER_INTERVAL = 8
--- a/thymeyoke/admission/reconciler.py
+++ b/thymeyoke/admission/reconciler.py
@@ -15,7 +15,7 @@
 
 
 class RejectAdvice(NamedTuple):
-    """What a rejected client is told besides."""
+    """What a rejected client should do."""
 
     is_terminal: bool  # another server would reject the request as well
     retry_after: float  # seconds
@@ -177,7 +177,7 @@
             self._release(pending, never_ran=before is RequestState.QUEUED)
 
     def _release(self, pending: PendingRequest, never_ran: bool) -> None:
-        """Free what a request held. The key of one that never ran would fail all of its retries."""
+        """Free what a request reserved. The key of one that never ran would fail all of its retries."""
         if never_ran:
             self.memory.key_expiry.pop(pending.id, None)
             if pending.is_key_retained:
--- a/thymeyoke/admission/settings.py
+++ b/thymeyoke/admission/settings.py
@@ -1,4 +1,4 @@
-"""What an app server is told at its start: its request classes, its machine and its surroundings."""
+"""Settings of admission control: request classes, the machine and its surroundings."""
 
 from __future__ import annotations
 
--- a/thymeyoke/cli.py
+++ b/thymeyoke/cli.py
@@ -71,7 +71,7 @@
 @log_level_option
 @log_form_option
 def serve(config: Path, service_config: Path | None, log_level: str, log_form: str) -> None:
-    """Run one app server until it is told to stop (SIGTERM).
+    """Run one app server until SIGTERM.
 
     \b
     Example: python -m thymeyoke serve --config examples/start.json
--- a/thymeyoke/configuration/start_file.py
+++ b/thymeyoke/configuration/start_file.py
@@ -51,8 +51,8 @@
 STOP_EFFECTS = {"freeze": StopEffect.PAUSE, "discard": StopEffect.DISCARD, "silent": StopEffect.NONE}
 GAUGE_NAMES = {"cpu_busy": "busy", "runnable": "runnable", "mem_used": "memory", "sockets": "connections"}
 HIGHEST_PORT = 65535
-DEFAULT_MAX_DESCRIPTORS = 1024  # where no limit is told
-DEFAULT_IDLE_TIMEOUT_US = 3_600_000_000  # of clients that are not said to close idle connections
+DEFAULT_MAX_DESCRIPTORS = 1024  # where no limit is given
+DEFAULT_IDLE_TIMEOUT_US = 3_600_000_000  # of clients that are not known to close idle connections
 
 
 class Address(NamedTuple):
@@ -226,7 +226,7 @@
         max_concurrency=contract.number("fall_multiple", least=1),
         averaging_span=contract.number("fall_us") * SECONDS_PER_MICROSECOND,
         starts_cold=family.flag("cold"),
-        # Where no least speed is told, none is sure: at full speed a cold server would fall over.
+        # Where no least speed is given, none is certain: at full speed a cold server would fall over.
         cold_speed_share=contract.number("cold_share", 0),
         warm_up_timeout=contract.number("cold_us", 0) * SECONDS_PER_MICROSECOND,
     )
--- a/thymeyoke/server/__init__.py
+++ b/thymeyoke/server/__init__.py
@@ -1,1 +1,1 @@
-"""The app server on sockets, one file for each stage of an op's life; docs/architecture.md has the map."""
+"""The app server on sockets, one module for each stage of a request; docs/architecture.md has the map."""
--- a/thymeyoke/server/dispatcher.py
+++ b/thymeyoke/server/dispatcher.py
@@ -73,8 +73,8 @@
     ) -> None:
         """`results_limit`: bytes that retained results may take of this process's own memory."""
         self.stop_timeout = stop_timeout
-        # The notice is heard late, by up to the slack of an answer. What reached the machine after the true
-        # end of the grace must not be run: ours ends sooner by as much.
+        # The notice may be received late, by up to the slack of an answer. What reached the machine after the
+        # true end of the grace must not be run: this grace ends sooner by as much.
         grace = max(0.0, settings.terms.drain_grace - settings.terms.answer_slack)
         self.settings = settings._replace(terms=settings.terms._replace(drain_grace=grace))
         self.classes, self.tick = settings.request_classes, settings.machine.tick
@@ -302,7 +302,7 @@
                 self.executor.release_key(now, id)
 
     def _begin_drain(self, now: float, at: float) -> None:
-        """`at`: when the notice came. All spans count from there, however late it is heard."""
+        """Begin the drain; all its times count from `at`, when the notice came."""
         if self.drain.plan:
             return
         plan = plan_drain(at, self.stop_timeout, self.settings.terms.drain_grace)
--- a/thymeyoke/server/socket_reader.py
+++ b/thymeyoke/server/socket_reader.py
@@ -15,7 +15,7 @@
 
     The event loop watches the socket for as long as it is read: `anyio.wait_readable` registers it anew for
     each read, at the cost of two system calls. A chunk that waits to be taken is seen by `is_empty`; behind
-    it nothing more is read, so that a task which is held up holds up its own client.
+    it nothing more is read, so that a task which is blocked blocks its own client alone.
     """
 
     def __init__(self, source: socket.socket) -> None:
--- a/thymeyoke/slow_start/heartbeat.py
+++ b/thymeyoke/slow_start/heartbeat.py
@@ -50,10 +50,10 @@
         self.has_retried = False  # since the last heartbeat a retry went out, or is due
 
     def begin(self, now: float, lifetime: float, processor_time: float) -> None:
-        """The process can report, after so many seconds of its life and of a processor.
+        """Note that the process can report, after so many seconds of its life and of processor time.
 
-        Where the first is much more, it was stopped, or started in a crowd, and many can report at this very
-        moment. Else the first report goes out at once.
+        Where the first is much more, it was stopped or started among many others, which may report at this
+        moment too: the first report is spread. Else it goes out at once.
         """
         if self.has_begun:
             return
@@ -93,7 +93,7 @@
     def should_send(self, now: float) -> bool:
         """Whether a report goes out now.
 
-        A heartbeat that comes late was held up, as those of many may have been: it is left out, and the next
+        A heartbeat that is late was delayed, as those of many may have been: it is skipped, and the next
         one is due at its own place. Never two in a row: who is late every time is slow, and reports when it
         can. Nor after a report that was not answered, while the entry lives: it would lapse.
         """
