--- a/benchmarks/affinity.py
+++ b/benchmarks/affinity.py
@@ -1,8 +1,8 @@
-"""Seats: what a choice, a customer, an exception and a full set cost, and who moves at each kind of change.
+"""Session affinity: costs of assignments and bindings, and how many clients each kind of change moves.
 `python -m benchmarks.affinity`.
 
-One table, and JSON lines with `--json`. The second part is in simulated time: many nodes without sockets,
-words taking one step. Times are this machine's, so quote the ratios.
+Prints a table, or JSON lines with `--json`. The second part runs in simulated time: many nodes without
+sockets. Times depend on the machine; compare the ratios.
 """
 
 from __future__ import annotations
@@ -18,10 +18,10 @@
 from benchmarks import show
 from fakes.simulated_affinity import World
 from thymeyoke.affinity import wire
-from thymeyoke.affinity.clients import customer
-from thymeyoke.affinity.controller import Seats
-from thymeyoke.affinity.messages import Piece
-from thymeyoke.affinity.rendezvous import Places, pair
+from thymeyoke.affinity.clients import client_key
+from thymeyoke.affinity.controller import AffinityTable
+from thymeyoke.affinity.messages import LogChunk
+from thymeyoke.affinity.rendezvous import RendezvousHash, hash_parameters
 from thymeyoke.membership.view import Member, Snapshot, State, Trust, View
 
 LINGER, MARGIN, OLD = 17.6, 2.2, 1e6
@@ -34,7 +34,7 @@
 
 
 def numbers(count: int) -> list[int]:
-    return [customer("tenant", f"10.{at >> 16 & 255}.{at >> 8 & 255}.{at & 255}") for at in range(count)]
+    return [client_key("tenant", f"10.{at >> 16 & 255}.{at >> 8 & 255}.{at & 255}") for at in range(count)]
 
 
 def names(count: int) -> list[str]:
@@ -48,8 +48,7 @@
 
 
 class Fleet:
-    """What members would say: servers by name with their life, state and beginning, and which nodes are
-    there."""
+    """The membership: incarnation, state, start and trust of each server, and the nodes."""
 
     def __init__(self, servers: Iterable[str], nodes: Iterable[str]) -> None:
         self.servers = {name: (1, State.SERVING, -OLD, Trust.SURE) for name in servers}
@@ -64,18 +63,18 @@
         return View(1, now, me, members)
 
 
-def alone(servers: int, most: int, others: Iterable[str] = ()) -> tuple[Seats, Fleet]:
-    """A node that has joined."""
+def alone(servers: int, most: int, others: Iterable[str] = ()) -> tuple[AffinityTable, Fleet]:
+    """The table of a node that has joined."""
     fleet = Fleet(names(servers), ["a", *others])
-    seats = Seats(0.0, "a", LINGER, most, MARGIN)
+    seats = AffinityTable(0.0, "a", LINGER, most, MARGIN)
     for now in (0.0, 2 * MARGIN, 2.1 * MARGIN):
-        seats.saw(now, fleet.view(now, "a"))
-        seats.settle(now)
-    assert seats.joined
+        seats.observe(now, fleet.view(now, "a"))
+        seats.advance(now)
+    assert seats.has_joined
     return seats, fleet
 
 
-# What it costs.
+# Costs.
 
 
 def choices() -> list[Row]:
@@ -90,21 +89,21 @@
         rows.append(row(what, spent * 1e6, "us", modulo * 1e6))
 
     sources = [f"10.1.{at >> 8 & 255}.{at & 255}" for at in range(5000)]
-    timed("a customer's number from its address", lambda source: customer("tenant", source), sources)
-    timed("first choice of 300 (rendezvous)", seats.taking.first)
-    timed("all places of 300, ranked", seats.taking.ranked)
+    timed("a customer's number from its address", lambda source: client_key("tenant", source), sources)
+    timed("first choice of 300 (rendezvous)", seats.taking.first_choice)
+    timed("all places of 300, ranked", seats.taking.ranking)
     table = maglev(seats.taking.names)
     timed("first choice of 300 (Maglev)", lambda one: table[one % len(table)])
-    timed("seat, no exceptions", lambda one: seats.seat(now, one))
+    timed("seat, no exceptions", lambda one: seats.assign(now, one))
     for count in (10_000, 100_000):
-        for one in numbers(count)[len(seats.kept) :]:
-            seats._keep(now, one, seats.taking.names[one % SERVERS])
+        for one in numbers(count)[len(seats.bindings) :]:
+            seats._bind(now, one, seats.taking.names[one % SERVERS])
         unseen = [one ^ 1 for one in many]
-        timed(f"seat by hash, {count:,} exceptions", lambda one: seats.seat(now, one), unseen)
-        timed(f"seat by exception, {count:,} exceptions", lambda one: seats.seat(now, one))
+        timed(f"seat by hash, {count:,} exceptions", lambda one: seats.assign(now, one), unseen)
+        timed(f"seat by exception, {count:,} exceptions", lambda one: seats.assign(now, one))
     fleet.servers["new"] = (1, State.SERVING, now, Trust.SURE)
-    seats.saw(now, fleet.view(now, "a"))
-    timed("seat while a server ripens", lambda one: seats.seat(now, one), [one ^ 2 for one in many])
+    seats.observe(now, fleet.view(now, "a"))
+    timed("seat while a server ripens", lambda one: seats.assign(now, one), [one ^ 2 for one in many])
     return rows
 
 
@@ -124,50 +123,50 @@
 
     def opened() -> None:
         for one in many:
-            seats.opened(now, one, seats.seat(now, one).server)
+            seats.connection_opened(now, one, seats.assign(now, one).server)
 
     held(f"a customer connected, of {count:,}", opened, count)
     fleet.servers["new"] = (1, State.SERVING, now, Trust.SURE)
 
     def joins() -> None:
-        seats.saw(now, fleet.view(now, "a"))
-        while seats.scan:
-            seats.settle(now)
+        seats.observe(now, fleet.view(now, "a"))
+        while seats.clients_to_check:
+            seats.advance(now)
 
     scanned = took(joins)
     rows.append(row("look at all of them as a server joins", scanned * 1e3, "ms"))
     share = count / (SERVERS + 1)
-    rows.append(row("exceptions that it makes, beside 1 of 301", len(seats.kept), "", share))
+    rows.append(row("exceptions that it makes, beside 1 of 301", len(seats.bindings), "", share))
     for one in many:
-        seats.closed(now, one, "")
+        seats.connection_closed(now, one, "")
     full, _ = alone(SERVERS, 2 * count)
-    held(f"an exception, of {count:,}", lambda: [full._keep(now, one, "server-1") for one in many], count)
+    held(f"an exception, of {count:,}", lambda: [full._bind(now, one, "server-1") for one in many], count)
     return rows
 
 
 def merging(count: int) -> list[Row]:
-    """A full set, from one node's log to another's table."""
+    """Replicate a full set of bindings from one node's log to another node's table."""
     teller, _ = alone(SERVERS, count, ["b"])
     reader, _ = alone(SERVERS, count, ["b"])
     now = 3 * MARGIN
     for one in numbers(count):
-        teller._keep(now, one, teller.taking.names[one % SERVERS])
-    pieces: list[Piece] = []
+        teller._bind(now, one, teller.taking.names[one % SERVERS])
+    pieces: list[LogChunk] = []
 
     def cut() -> None:
         behind = 0
         while behind < teller.log.head:
-            pieces.append(teller._cut(now, behind))
-            behind = pieces[-1].to
+            pieces.append(teller._make_chunk(now, behind))
+            behind = pieces[-1].end
 
     spent = [took(cut)]
     bodies: list[bytes] = []
     spent.append(took(lambda: bodies.extend(map(wire.encode, pieces))))
     read: list[Any] = []
     spent.append(took(lambda: read.extend(map(wire.decode, bodies))))
-    spent.append(took(lambda: [reader.heard(now, "b", piece) for piece in read]))
-    assert reader.kept.keys() == teller.kept.keys()
-    again = took(lambda: [reader.heard(now, "b", piece) for piece in read])
+    spent.append(took(lambda: [reader.receive(now, "b", piece) for piece in read]))
+    assert reader.bindings.keys() == teller.bindings.keys()
+    again = took(lambda: [reader.receive(now, "b", piece) for piece in read])
     what = ("to cut into pieces", "to encode", "to decode", "to merge")
     return [
         *(row(f"{count:,} exceptions {name}", one * 1e3, "ms", spent[3] * 1e3)
@@ -178,7 +177,7 @@
     ]  # fmt: skip
 
 
-# Who moves.
+# Changes of servers.
 
 
 def maglev(servers: Sequence[str], size: int = 65_537) -> list[str]:
@@ -201,27 +200,29 @@
 
 
 def come(world: World, many: Sequence[int]) -> dict[int, str]:
-    """Each customer opens a connection at some node; where it is seated."""
+    """Each client opens a connection at a random node; the servers they reach."""
     at = list(world.nodes)
-    return {one: world.open(one, world.rng.choice(at)) for one in many}
+    return {one: world.open_connection(one, world.rng.choice(at)) for one in many}
 
 
 def half_go(world: World, many: Sequence[int]) -> None:
-    """Half of the customers end all their connections."""
+    """Half of the clients close all their connections."""
     for one in many:
         if world.rng.random() < 0.5:
-            world.close(one)
+            world.close_connections(one)
 
 
 ENDS: dict[str, dict[str, Any]] = {"leaves": {"state": State.LEAVING}, "dies": {"trust": Trust.DEAD}}
 
 
 def changes(nodes: int, servers: int, customers: int, seed: int) -> list[Row]:
-    """Each kind of change, in a fleet of its own: customers that are seated elsewhere afterwards."""
+    """For each kind of change, in a fleet of its own: the clients whose server is another one afterwards."""
     some = names(servers)
     tenth = max(1, servers // 10)
     fresh = [f"new-{at}" for at in range(tenth)]
-    kinds: dict[str, tuple[list[str], list[str], str]] = {  # servers that come, that end, what else
+    kinds: dict[
+        str, tuple[list[str], list[str], str]
+    ] = {  # servers that join, servers that end, other changes
         "a server joins": (fresh[:1], [], ""),
         "a tenth joins": (fresh, [], ""),
         "a server leaves": ([], some[:1], "leaves"),
@@ -234,33 +235,33 @@
     rows: list[Row] = []
     many = numbers(customers)
     for kind, (new, end, what) in kinds.items():
-        world = World([f"node-{at}" for at in range(nodes)], some, linger=LINGER, margin=MARGIN,
-                      most=1_000_000, ticks=8, seed=seed)  # fmt: skip
-        world.flow(MARGIN)
+        world = World([f"node-{at}" for at in range(nodes)], some, idle_timeout=LINGER, margin=MARGIN,
+                      max_bindings=1_000_000, ticks=8, seed=seed)  # fmt: skip
+        world.advance(MARGIN)
         before = come(world, many)
         half_go(world, many)
         for name in new:
-            world.serve(name)
+            world.start_server(name)
         for name in end:
             if what == "restarts":
-                world.serve(name)
+                world.start_server(name)
             else:
-                world.serve(name, **ENDS[what])
-        began, world.octets = world.now, 0
-        while world.now < began + LINGER + 3 * MARGIN:  # all come again within each linger
-            world.flow(LINGER / 2)
+                world.start_server(name, **ENDS[what])
+        began, world.sent_bytes = world.now, 0
+        while world.now < began + LINGER + 3 * MARGIN:  # all clients return within the idle timeout
+            world.advance(LINGER / 2)
             come(world, many)
             half_go(world, many)
             if what == "node joins" and "late" not in world.nodes:
-                world.start("late")
+                world.start_node("late")
             elif what == "node dies" and "node-0" in world.nodes:
-                world.flow(MARGIN)
-                world.kill("node-0")
+                world.advance(MARGIN)
+                world.kill_node("node-0")
         after = come(world, many)
         moved = sum(before[one] != after[one] and before[one] not in end for one in many)
         needed = sum(before[one] in end for one in many)
         rows.append(row(f"{kind}: moved though their server stays", 100 * moved / customers, "%"))
-        rows.append(row("  live seats that changed, by the checker", len(world.lost), ""))
+        rows.append(row("  live seats that changed, by the checker", len(world.violations), ""))
         rows.append(row("  customers of servers that ended", 100 * needed / customers, "%"))
         there = [name for name in [*some, *new] if name not in end or what == "restarts"]
         for way, choose in plain(some, there).items():
@@ -268,17 +269,17 @@
             share = 100 * sum(one != two and one not in end for one, two in both) / customers
             rows.append(row(f"  {way}, without exceptions", share, "%"))
         rows.append(row("  exceptions told", sum(len(seats.log) for seats in world.nodes.values()), ""))
-        rows.append(row("  octets between nodes", world.octets / 1e6, "MB"))
+        rows.append(row("  octets between nodes", world.sent_bytes / 1e6, "MB"))
     return rows
 
 
 def plain(before: Sequence[str], after: Sequence[str]) -> dict[str, Callable[[int], tuple[str, str]]]:
-    old, new = Places(before), Places(after)
+    old, new = RendezvousHash(before), RendezvousHash(after)
     then, now = maglev(before), maglev(after)
     return {
         "modulo n": lambda one: (before[one % len(before)], after[one % len(after)]),
         "Maglev": lambda one: (then[one % len(then)], now[one % len(now)]),
-        "rendezvous": lambda one: (old.first(one), new.first(one)),
+        "rendezvous": lambda one: (old.first_choice(one), new.first_choice(one)),
     }
 
 
@@ -291,7 +292,7 @@
 @click.option("--part", type=click.Choice(["all", "cost", "changes"]), default="all")
 def main(as_json: bool, customers: int, nodes: int, servers: int, seed: int, part: str) -> None:
     """Example: python -m benchmarks.affinity --part cost"""
-    pair.cache_clear()
+    hash_parameters.cache_clear()
     if part in ("all", "cost"):
         show([*choices(), *memory(customers), *merging(customers)], as_json)
     if part in ("all", "changes"):
--- a/benchmarks/fault_injection.py
+++ b/benchmarks/fault_injection.py
@@ -39,7 +39,7 @@
     in_text,
     peak,
 )
-from thymeyoke.affinity.clients import customer as numbered
+from thymeyoke.affinity.clients import client_key as numbered
 
 EACH = 6.0  # seconds between the beginnings of two faults
 LINKS = 3  # that go wrong at a time
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -1,8 +1,8 @@
-"""Members in simulated time, beside leases told to all. `python -m benchmarks.membership`: one table, or JSON
-lines with `--json`.
+"""Membership in simulated time, compared with leases sent to all. `python -m benchmarks.membership` prints a
+table, or JSON lines with `--json`.
 
-`Simulated` is also what the tests play faults with: real decisions, no sockets, a clock of its own for each
-process, one seed. Seconds of simulated time are exact; microseconds are this machine's, so quote the ratios.
+Tests use `Simulated` as well: the real protocol without sockets, a clock for each process, one seed. Seconds
+are simulated and exact; microseconds depend on the machine, so compare the ratios.
 """
 
 from __future__ import annotations
@@ -21,46 +21,46 @@
 from benchmarks import show
 from thymeyoke.membership import wire
 from thymeyoke.membership.controller import Membership
-from thymeyoke.membership.failure_detector import Known, Layer, Said
-from thymeyoke.membership.gossip import Kind, Message, Noted, Send
+from thymeyoke.membership.failure_detector import Announcement, KnownMember, SnapshotLayer
+from thymeyoke.membership.gossip import LogEvent, Message, MessageKind, Send
 from thymeyoke.membership.view import Load, Snapshot, State, Trust
 
-DELAY = 0.002  # seconds of one way
-HEAD = 110  # octets of a notification's head, about, with its MAC
+DELAY = 0.002  # seconds, in one direction
+HEAD = 110  # approximate bytes of a notification's head, with its MAC
 MEMBERS = (3, 64, 300, 1024)
-MISSED = 3  # leases that a member of the other way must miss to be dead
+MISSED = 3  # leases that a member must miss to be declared dead
 
 
 class Process:
-    """One member. `skew`: seconds that its clock is ahead of the others'."""
+    """One member. `skew`: seconds by which its clock is ahead of the others."""
 
     def __init__(self, name: str, address: str, membership: Membership, skew: float) -> None:
         self.name, self.address, self.membership, self.skew = name, address, membership, skew
         self.alive, self.stopped = True, False
-        self.inbox: list[Message] = []  # what came while it stood still
+        self.inbox: list[Message] = []  # received while it was stopped
         self.notes: Counter[str] = Counter()
-        self.messages = self.octets = 0  # out
+        self.messages = self.octets = 0  # sent
 
 
 class Simulated:
-    """Processes and what lies between them. `passes(from, to)`, by names, says whether a message comes
-    through; besides, a share `loss` of them is lost."""
+    """Processes and the network between them. `passes(sender, receiver)`, by name, tells whether a message
+    gets through; in addition, a share `loss` of all messages is lost."""
 
     def __init__(self, seed: int = 1, period: float = 1.0, loss: float = 0.0, weigh: bool = False) -> None:
         self.rng, self.period, self.loss, self.weigh = Random(seed), period, loss, weigh
         self.now = 1000.0
-        self.processes: dict[str, Process] = {}  # by name, the last that was started
+        self.processes: dict[str, Process] = {}  # by name, the latest incarnation
         self.by_address: dict[str, Process] = {}
         self.events: list[tuple[float, int, Process, Message | None]] = []
         self.count = 0
         self.passes: Callable[[str, str], bool] = lambda one, other: True
-        self.deaths: list[tuple[float, str, str]] = []  # when, who found it, whom
+        self.deaths: list[tuple[float, str, str]] = []  # time, who declared it, name
 
     def start(
         self, name: str, node: bool = False, others: Iterable[str] = (), address: str = "", skew: float = 0.0,
         state: State = State.SERVING, incarnation: int | None = None, **figures: Any,
     ) -> Process:  # fmt: skip
-        """`others`: names of processes that were started before, or addresses."""
+        """Start a process; `others`: its seeds, as names of processes already started or as addresses."""
         count = len(self.by_address)
         address = address or f"10.{count >> 14 & 255}.{count >> 7 & 127}.{count % 128 + 1}:6001"
         seeds = tuple(self.processes[one].address if one in self.processes else one for one in others)
@@ -74,14 +74,14 @@
         return one
 
     def fleet(self, many: int, nodes: int) -> list[Process]:
-        """Processes that know each other already: what a calm fleet looks like."""
+        """Start processes that already know each other."""
         all_ = [self.start(f"m{at}", at < nodes) for at in range(many)]
-        own = [Said(one.membership.own) for one in all_]
+        own = [Announcement(one.membership.own) for one in all_]
         for one in all_:
             for said in own:
                 if said.snapshot.name != one.name:
-                    one.membership._said(self.now, said, set())
-            one.membership.fresh.told.clear()
+                    one.membership._apply_announcement(self.now, said, set())
+            one.membership.gossip.transmissions.clear()
         return all_
 
     def kill(self, name: str) -> None:
@@ -91,7 +91,7 @@
         self.processes[name].stopped = True
 
     def go_on(self, name: str) -> None:
-        """Woken: it reads first what had come in."""
+        """Resume a stopped process, which first reads the messages received meanwhile."""
         one = self.processes[name]
         one.stopped, waiting, one.inbox = False, one.inbox, []
         for message in waiting:
@@ -105,7 +105,10 @@
             if not one.alive:
                 continue
             if message is None:
-                if one.stopped or self.now + one.skew < one.membership.next(self.now + one.skew) - 1e-9:
+                if (
+                    one.stopped
+                    or self.now + one.skew < one.membership.next_advance_at(self.now + one.skew) - 1e-9
+                ):
                     continue
             elif one.stopped:
                 one.inbox.append(message)
@@ -116,7 +119,7 @@
         self.now = until
 
     def until(self, true: Callable[[], Any], most: float, step: float = 0.25) -> float:
-        """Seconds until it holds; `most` and a step where it does not."""
+        """Run until the condition holds; return the seconds, or more than `most` if it does not."""
         began = self.now
         while not true() and self.now - began <= most:
             self.run(step)
@@ -131,22 +134,24 @@
         return one.membership.view(self.now + one.skew)
 
     def agree(self, on: Iterable[str], there: Iterable[str]) -> bool:
-        """Whether each of `on` is sure of just these."""
+        """Whether each of `on` is sure of exactly the processes `there`."""
         wanted = set(there)
         return all(
-            {name for name, member in self.view(one).members.items() if member.there} == wanted
-            and all(member.trust == Trust.SURE for member in self.view(one).members.values() if member.there)
+            {name for name, member in self.view(one).members.items() if member.is_present} == wanted
+            and all(
+                member.trust == Trust.SURE for member in self.view(one).members.values() if member.is_present
+            )
             for one in on
         )
 
     def _hear(self, one: Process, message: Message) -> None:
-        one.membership.heard(self.now + one.skew, message.me.snapshot.address, message)
+        one.membership.receive(self.now + one.skew, message.sender.snapshot.address, message)
 
     def _settle(self, one: Process) -> None:
-        for action in one.membership.settle(self.now + one.skew):
-            if isinstance(action, Noted):
-                one.notes[action.what] += 1
-                if action.what == "now_dead":
+        for action in one.membership.advance(self.now + one.skew):
+            if isinstance(action, LogEvent):
+                one.notes[action.event] += 1
+                if action.event == "now_dead":
                     self.deaths.append((self.now, one.name, action.name))
                 continue
             self._carry(one, action)
@@ -156,28 +161,28 @@
         one.messages += 1
         if self.weigh:
             octets = len(wire.encode(send.message))
-            one.octets += octets + HEAD * max(1, ceil(octets / wire.PART))
-        other = self.by_address.get(send.to)
+            one.octets += octets + HEAD * max(1, ceil(octets / wire.MAX_PART_BYTES))
+        other = self.by_address.get(send.address)
         if other is None or not self.passes(one.name, other.name) or self.rng.random() < self.loss:
             return
         self.count += 1
         heappush(self.events, (self.now + DELAY, self.count, other, send.message))
 
     def _wake(self, one: Process) -> None:
-        at = one.membership.next(self.now + one.skew) - one.skew
+        at = one.membership.next_advance_at(self.now + one.skew) - one.skew
         if at < float("inf"):
             self.count += 1
             heappush(self.events, (max(self.now, at), self.count, one, None))
 
 
-# Leases on snapshots to all, as the other way: everybody tells everybody each period, and whoever is not
-# heard for `MISSED` periods is dead, until heard again.
+# For comparison, leases: every member sends to every other one in each period, and a member from which
+# nothing arrives for `MISSED` periods is dead until something arrives again.
 
 
 def leases(many: int, period: float, loss: float, span: float, seed: int) -> tuple[float, int]:
-    """Time to find a death, as the mean over members, and how often one that lives was found dead, in all."""
+    """Mean time to detect a death, and the total number of false deaths."""
     rng = Random(seed)
-    pairs = min(many * (many - 1), 4096)  # independent of each other: a sample of them, and then the whole
+    pairs = min(many * (many - 1), 4096)  # they are independent, so a sample is scaled up
     false = 0
     for _ in range(pairs):
         missed = 0
@@ -189,20 +194,20 @@
 
 
 def figures_octets() -> int:
-    """Of one lease: a snapshot alone, in its notification."""
+    """Bytes of one lease: one snapshot in a notification."""
     simulated = Simulated()
     one = simulated.start("app-server-100", serves="192.0.2.100:7001", connections=100, room=4000)
     other = simulated.start("app-server-101", others=["app-server-100"])
-    other.membership.settle(simulated.now + 1.0)
-    said = Said(one.membership.own)
-    return len(wire.encode(Message(Kind.PUSH, said, 1.0))) + HEAD
+    other.membership.advance(simulated.now + 1.0)
+    said = Announcement(one.membership.own)
+    return len(wire.encode(Message(MessageKind.PUSH, said, 1.0))) + HEAD
 
 
 # Rows.
 
 
 def calm(many: int) -> list[dict[str, Any]]:
-    """Messages and octets a second and member, once all is quiet; then one death."""
+    """Messages and bytes per second and member in a stable fleet, then the detection of one death."""
     nodes = min(8, many // 3)
     simulated = Simulated(seed=many, weigh=True)
     all_ = simulated.fleet(many, nodes)
@@ -235,7 +240,7 @@
 
 
 def faults(many: int = 64, span: float = 300.0) -> list[dict[str, Any]]:
-    """Deaths that were none, at losses and with one way cut between two."""
+    """False deaths, with lost messages and with a link cut in one direction."""
     rows = []
     for loss in (0.01, 0.1):
         simulated = Simulated(seed=7, loss=loss)
@@ -255,14 +260,14 @@
         simulated.run(span)
         wrong, unsure = len(simulated.deaths), sum(
             one.notes["now_unsure"] for one in simulated.processes.values())  # fmt: skip
-        # By leases m1 never hears m0 again: dead there for good, with everybody else seeing it alive.
+        # With leases m1 would never receive from m0 again, and m0 stay dead for m1 but alive for all others.
         rows.append(row(f"{n} members, one way cut, {span:.0f} s: false deaths", wrong, "", float(wrong)))
         rows.append(row(f"{n} members, one way cut, {span:.0f} s: times unsure", unsure, "", None))
     return rows
 
 
 def each(what: Callable[[], Any], least: float = 0.3) -> float:
-    """Microseconds a call, the best of several spans."""
+    """Microseconds per call, the best of several measurements."""
     best, many = float("inf"), 1
     began = time.perf_counter()
     while time.perf_counter() - began < least:
@@ -280,11 +285,11 @@
     now = simulated.now + 1.0
     loads = tuple(Load(f"tenant-{at:04}", at, 0.5) for at in range(1000))
     full = one.membership.own._replace(name="m1", loads=loads)
-    known = Known(now, Said(full, 0.0, Layer.DETAIL))
+    known = KnownMember(now, Announcement(full, 0.0, SnapshotLayer.DETAIL))
     sequence = iter(range(10, 1 << 40))
 
     def merge() -> None:
-        known.take(now, Said(full._replace(sequence=next(sequence)), 0.0, Layer.DETAIL))
+        known.update(now, Announcement(full._replace(sequence=next(sequence)), 0.0, SnapshotLayer.DETAIL))
 
     theirs = simulated.processes["m2"]
     many = sorted(simulated.processes)[3:33]
@@ -292,12 +297,12 @@
     def hear() -> None:
         sequence_now = next(sequence)
         owns = (simulated.processes[name].membership.own for name in many)
-        said = tuple(Said(own._replace(sequence=sequence_now)) for own in owns)
-        me = Said(theirs.membership.own._replace(sequence=sequence_now))
-        one.membership.heard(now, theirs.address, Message(Kind.PUSH, me, 1.0, said=said))
-        one.membership.out.clear()
+        said = tuple(Announcement(own._replace(sequence=sequence_now)) for own in owns)
+        me = Announcement(theirs.membership.own._replace(sequence=sequence_now))
+        one.membership.receive(now, theirs.address, Message(MessageKind.PUSH, me, 1.0, announcements=said))
+        one.membership.outbox.clear()
 
-    message = Message(Kind.PUSH, Said(full, 0.0, Layer.DETAIL), 1.0)
+    message = Message(MessageKind.PUSH, Announcement(full, 0.0, SnapshotLayer.DETAIL), 1.0)
     packed = wire.encode(message)
     took = each(merge)
     return [
@@ -314,7 +319,7 @@
 
 
 def least_found(many: int) -> float:
-    """By arithmetic: periods until a death is suspected, and then found with three who confirm."""
+    """Calculated periods until a death is suspected, and then declared with three confirmations."""
     return 1 / (1 - (1 - 1 / (many - 1)) ** (many - 1)) + 1 + 3 * max(1.0, log(many, 10))
 
 
--- a/benchmarks/simulated.py
+++ b/benchmarks/simulated.py
@@ -1,8 +1,8 @@
-"""The fleet in simulated time. `python -m benchmarks.simulated [--play NAME]`: one table, or JSON lines with
+"""A fleet in simulated time. `python -m benchmarks.simulated [--play NAME]` prints a table, or JSON with
 `--json`.
 
-Each play is drawn from its seed and replays from it. docs/simulated.md says what is played and has the
-figures; what must hold is asserted in each play (`Broken`, with seed and what was done to the fleet).
+Each scenario ("play") is determined by its seed. docs/simulated.md describes the scenarios and has results.
+Each scenario asserts its guarantees; `Broken` names the seed and the changes made to the fleet.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 import click
 
 from benchmarks import show
-from fakes.simulated_fleet import LINGER, Fleet
-from fakes.simulated_membership import Talk
+from fakes.simulated_fleet import IDLE_TIMEOUT, Fleet
+from fakes.simulated_membership import SimulatedMembers
 from fakes.simulated_migration import STEP, Moving
-from fakes.simulated_slow_start import Crowd, Fault, Fixed, Process
-from thymeyoke.membership.failure_detector import Stand
+from fakes.simulated_slow_start import BaselineProcess, Fault, Process, ProcessFleet
+from thymeyoke.membership.failure_detector import MemberStatus
 from thymeyoke.migration.controller import Terms
 from thymeyoke.slow_start.heartbeat import INTERVAL_SECONDS
 
@@ -38,7 +38,7 @@
 
 
 class Broken(AssertionError):
-    """What must hold did not."""
+    """A guarantee was violated."""
 
 
 def holds(what: bool, text: str, size: Size, log: list[tuple[float, str]]) -> None:
@@ -51,12 +51,12 @@
     return {"what": what, "value": value, "unit": unit, "ratio": ratio}
 
 
-# Seats.
+# Session affinity.
 
-COME, WITHIN = 2.0, 10.0  # customers come from here on, all within this span
+COME, WITHIN = 2.0, 10.0  # time of the first client connections, and the time within which all connect
 CHANGE = 15.0  # when the fleet changes
-RIPE = 1.25 * LINGER  # a server that joins takes customers about then
-TAIL = 1.5 * LINGER  # and so long it is watched
+RIPE = 1.25 * IDLE_TIMEOUT  # time after which a joining server gets clients
+TAIL = 1.5 * IDLE_TIMEOUT  # further observation time
 
 
 def new_server(fleet: Fleet) -> str:
@@ -92,7 +92,7 @@
 
 
 def rolling_restart(fleet: Fleet, rng: Random) -> None:
-    """All, a tenth at a time, each 6 s: leaves, is gone after 4 s, serves again after 6."""
+    """Restart all servers, a tenth every 6 s: each leaves, ends after 4 s and serves again after 6 s."""
     names = rng.sample(sorted(fleet.servers), len(fleet.servers))
     for at, name in enumerate(names):
         turn = fleet.world.now + 6.0 * (at * 10 // len(names)) + rng.random()
@@ -101,37 +101,37 @@
 
 
 def node_joins(fleet: Fleet, rng: Random) -> None:
-    """While the exceptions of a server that joined are the only word of some seats."""
+    """A node joins while some assignments rest only on the bindings made when a server joined."""
     fleet.serve(new_server(fleet))
     fleet.world.after(RIPE + 4.0, fleet.join, f"n{len(fleet.nodes):02}")
 
 
 def node_leaves(fleet: Fleet, rng: Random) -> None:
     fleet.serve(new_server(fleet))
-    fleet.world.after(RIPE, fleet.retire, rng.choice(sorted(fleet.nodes)))
+    fleet.world.after(RIPE, fleet.drain_node, rng.choice(sorted(fleet.nodes)))
 
 
 def node_dies(fleet: Fleet, rng: Random) -> None:
-    """In the middle of the time in which exceptions are made, and as many as may be in the making."""
+    """A node dies while as many bindings as possible are being created."""
     tenth_joins(fleet, rng)
-    fleet.world.after(0.75 * LINGER, fleet.kill, rng.choice(sorted(fleet.nodes)))
+    fleet.world.after(0.75 * IDLE_TIMEOUT, fleet.kill, rng.choice(sorted(fleet.nodes)))
 
 
 def node_dies_and_comes_back(fleet: Fleet, rng: Random) -> None:
     name = rng.choice(sorted(fleet.nodes))
     fleet.serve(new_server(fleet))
-    fleet.world.after(0.75 * LINGER, fleet.kill, name)
-    fleet.world.after(0.75 * LINGER + 5.0, fleet.join, name)
+    fleet.world.after(0.75 * IDLE_TIMEOUT, fleet.kill, name)
+    fleet.world.after(0.75 * IDLE_TIMEOUT + 5.0, fleet.join, name)
 
 
 def homes(fleet: Fleet, rng: Random) -> None:
-    """Customers come to two nodes of their tenant's."""
+    """The clients of each tenant connect to two nodes."""
     names = sorted(fleet.nodes)
-    fleet.homes = [rng.sample(names, min(2, len(names))) for _ in fleet.customers.tenants]
+    fleet.homes = [rng.sample(names, min(2, len(names))) for _ in fleet.clients.tenants]
 
 
 def tenants_move(fleet: Fleet, rng: Random) -> None:
-    """A quarter of them, while a server joins."""
+    """A quarter of the tenants move to other nodes while a server joins."""
     fleet.serve(new_server(fleet))
     names = sorted(fleet.nodes)
     for tenant in rng.sample(range(len(fleet.homes)), max(1, len(fleet.homes) // 4)):
@@ -140,15 +140,15 @@
 
 
 def halves(fleet: Fleet, rng: Random) -> None:
-    """Cut in two for 15 s: nodes, app servers and most of the customers."""
+    """A partition of 15 s: nodes, app servers and most clients are split in two halves."""
     names = rng.sample(sorted(fleet.processes), len(fleet.processes))
     fleet.split(names[::2], names[1::2])
     fleet.world.after(15.0, heal, fleet)
 
 
 def half_unseen(fleet: Fleet, rng: Random) -> None:
-    """Half of the nodes hear nothing of the other half for 15 s, snapshots or words; these hear them.
-    Meanwhile an app server joins and another one dies."""
+    """For 15 s half of the nodes receive nothing from the other half, but not vice versa. Meanwhile an app
+    server joins and another one dies."""
     names = rng.sample(sorted(fleet.nodes), len(fleet.nodes))
     deaf, others = names[::2], names[1::2]
     fleet.net.cuts = {(source, target) for source in others for target in deaf}
@@ -164,7 +164,7 @@
 
 
 def overlapping(fleet: Fleet, rng: Random) -> None:
-    """For 60 s something each 2 s, in the mean; the last 15 s of it are cut in halves."""
+    """For 60 s one change every 2 s on average; the fleet is partitioned for the last 15 s."""
     kinds = [
         server_joins, server_leaves, server_dies, server_dies_and_comes_back, node_joins_alone,
         node_leaves_alone, node_dies_alone, tenants_move_alone,
@@ -183,7 +183,7 @@
 def node_leaves_alone(fleet: Fleet, rng: Random) -> None:
     there = [name for name, node in sorted(fleet.nodes.items()) if node.alive]
     if len(there) > 2:
-        fleet.retire(rng.choice(there))
+        fleet.drain_node(rng.choice(there))
 
 
 def node_dies_alone(fleet: Fleet, rng: Random) -> None:
@@ -201,7 +201,7 @@
 
 
 class Seats(NamedTuple):
-    """One play of seats. `zero`: no customer with a live seat may change it without need."""
+    """One affinity scenario. `zero`: no live assignment may change without need."""
 
     change: Callable[[Fleet, Random], None]
     span: float = RIPE + TAIL
@@ -228,161 +228,161 @@
 
 
 def seats(name: str, size: Size, coded: bool = False) -> tuple[Fleet, list[Row]]:
-    """One play; what must hold is asserted."""
+    """Run one affinity scenario and assert its guarantees."""
     play = SEATS[name]
-    fleet = Fleet(size.seed, size.servers, size.nodes, size.tenants, size.customers, coded=coded)
+    fleet = Fleet(size.seed, size.servers, size.nodes, size.tenants, size.customers, encode_messages=coded)
     rng = Random(f"{name} {size.seed}")
     if play.homes:
         homes(fleet, rng)
-    customers = fleet.customers
-    customers.begin(COME, WITHIN)
+    clients = fleet.clients
+    clients.begin(COME, WITHIN)
     fleet.run(CHANGE)
-    fleet.words.clear()
+    fleet.messages_sent.clear()
     fleet.octets = 0
-    customers.count()
+    clients.count()
     play.change(fleet, rng)
     fleet.run(CHANGE + play.span)
-    apart, elsewhere = fleet.torn()
-    came, log = len(customers.came) or 1, fleet.world.log
-    moved = len(customers.seats.moved - customers.early)
+    apart, elsewhere = fleet.count_disagreements()
+    came, log = len(clients.returned) or 1, fleet.world.log
+    moved = len(clients.affinity.moved - clients.reached_unknown)
     if play.zero:
-        holds(not moved, f"{name}: {moved} changed their server: {customers.moved_at[:5]}", size, log)
+        holds(not moved, f"{name}: {moved} changed their server: {clients.unneeded_changes[:5]}", size, log)
         holds(not elsewhere, f"{name}: {elsewhere} customers would be seated elsewhere", size, log)
     holds(not apart, f"{name}: {apart} customers would be seated apart", size, log)
-    holds(fleet.kept_most <= fleet.exceptions, f"{name}: {fleet.kept_most} exceptions", size, log)
+    holds(fleet.max_bindings <= fleet.binding_limit, f"{name}: {fleet.max_bindings} exceptions", size, log)
     rows = [row(f"{name}: customers that came again", came)]
-    ways = {"seats": customers.seats, "rendezvous": customers.rendezvous, "modulo": customers.modulo}
+    ways = {"seats": clients.affinity, "rendezvous": clients.rendezvous, "modulo": clients.modulo}
     for way, found in ways.items():
         rows += [
             row(f"{name}: changed without need, {way}", 100 * len(found.moved) / came, "%"),
             row(f"{name}: had to change, {way}", 100 * len(found.needed) / came, "%"),
         ]  # fmt: skip
     rows += [
-        row(f"{name}: exceptions at one node, at most", fleet.kept_most),
-        row(f"{name}: words between nodes", sum(fleet.words.values())),
+        row(f"{name}: exceptions at one node, at most", fleet.max_bindings),
+        row(f"{name}: words between nodes", sum(fleet.messages_sent.values())),
         row(f"{name}: octets of them a customer", fleet.octets / size.customers),
-        row(f"{name}: longest wait for a seat", customers.longest, "s"),
-        row(f"{name}: reached a life not known there", len(customers.early)),
+        row(f"{name}: longest wait for a seat", clients.longest_wait, "s"),
+        row(f"{name}: reached a life not known there", len(clients.reached_unknown)),
     ]
     if name.startswith("node-") or name == "overlapping":
-        rows.append(row(f"{name}: exceptions not shared at a death", fleet.lost_unshared))
+        rows.append(row(f"{name}: exceptions not shared at a death", fleet.lost_unreplicated))
     return fleet, rows
 
 
-# Cold start.
+# Slow start.
 
-START, BACK, OVER = 10.0, 15.0, 25.0  # the trouble begins, it ends, and so long it is watched
+START, BACK, OVER = 10.0, 15.0, 25.0  # begin of the fault, its end, and the observation time
 
 
-def at_once(crowd: Crowd) -> float:
-    """All are born at one moment, each on a machine of its own."""
-    crowd.start(crowd.many, 1.0)
+def at_once(fleet: ProcessFleet) -> float:
+    """All processes start at the same time, each on its own machine."""
+    fleet.start(fleet.count, 1.0)
     return 0.0
 
 
-def one_machine(crowd: Crowd) -> float:
-    """All can report at one moment, after a start that shared its cores."""
-    crowd.start(crowd.many, 10.0)
+def one_machine(fleet: ProcessFleet) -> float:
+    """All processes are ready at the same time, after a slow start on shared cores."""
+    fleet.start(fleet.count, 10.0)
     return 0.0
 
 
-def at_ease(crowd: Crowd) -> None:
-    crowd.start(crowd.many, 1.0)
-    crowd.world.run(START)
+def at_ease(fleet: ProcessFleet) -> None:
+    fleet.start(fleet.count, 1.0)
+    fleet.world.run(START)
 
 
-def let_go(crowd: Crowd) -> float:
-    """All are held for 5 s, and go on at one moment."""
-    at_ease(crowd)
-    crowd.hold(BACK - START)
+def let_go(fleet: ProcessFleet) -> float:
+    """All processes are stopped for 5 s and resume at the same time."""
+    at_ease(fleet)
+    fleet.hold(BACK - START)
     return BACK
 
 
-def list_mode(mode: Fault) -> Callable[[Crowd], float]:
-    def play(crowd: Crowd) -> float:
-        """The list is back to all at one moment, after 20 s."""
-        at_ease(crowd)
-        crowd.roster.mode = mode
-        crowd.world.run(START + 20.0)
-        crowd.roster.mode = None
-        return crowd.world.now
+def list_mode(mode: Fault) -> Callable[[ProcessFleet], float]:
+    def play(fleet: ProcessFleet) -> float:
+        """The registry is available again to all at the same time, after 20 s."""
+        at_ease(fleet)
+        fleet.registry.mode = mode
+        fleet.world.run(START + 20.0)
+        fleet.registry.mode = None
+        return fleet.world.now
 
     return play
 
 
-def store_back(crowd: Crowd) -> float:
-    """The database is away for 5 s, and back to all at one moment."""
-    at_ease(crowd)
-    crowd.store.away_until = BACK
-    crowd.world.run(BACK)
+def store_back(fleet: ProcessFleet) -> float:
+    """The dependency is unavailable for 5 s, and back for all at the same time."""
+    at_ease(fleet)
+    fleet.dependency.down_until = BACK
+    fleet.world.run(BACK)
     return BACK
 
 
-def store_half(crowd: Crowd) -> float:
-    """The database takes half of its usual calls from now on."""
-    at_ease(crowd)
-    crowd.store.strength = 0.5
+def store_half(fleet: ProcessFleet) -> float:
+    """The dependency handles half of its usual calls from now on."""
+    at_ease(fleet)
+    fleet.dependency.capacity_factor = 0.5
     return START
 
 
-def third_again(crowd: Crowd) -> float:
-    """A third is killed, and as many are born 2 s later."""
-    at_ease(crowd)
-    for one in crowd.there()[: crowd.many // 3]:
+def third_again(fleet: ProcessFleet) -> float:
+    """A third of the processes is killed, and as many start 2 s later."""
+    at_ease(fleet)
+    for one in fleet.alive_processes()[: fleet.count // 3]:
         one.kill()
-    crowd.world.run(START + 2.0)
-    crowd.start(crowd.many // 3, 1.0)
-    return crowd.world.now
+    fleet.world.run(START + 2.0)
+    fleet.start(fleet.count // 3, 1.0)
+    return fleet.world.now
 
 
-COLD: dict[str, Callable[[Crowd], float]] = {
+COLD: dict[str, Callable[[ProcessFleet], float]] = {
     "born-at-once": at_once,
     "one-machine": one_machine,
     "let-go": let_go,
     "list-back": list_mode(Fault.REFUSED),
     "list-hangs": list_mode(Fault.SILENT),
-    "list-503": list_mode(Fault.TURNED),
+    "list-503": list_mode(Fault.ERROR_STATUS),
     "store-back": store_back,
     "store-half": store_half,
     "third-again": third_again,
 }
-BORN = ("born-at-once", "third-again")  # here the first reports fall together, as they may
+BORN = ("born-at-once", "third-again")  # the first reports coincide here, which is allowed
 
 
 class Start(NamedTuple):
-    """What came of one cold start. Peaks: of the steady rate, in a tenth of a second and in a span."""
+    """The result of one start. Peaks are relative to the steady rate, over 0.1 s or one report interval."""
 
     list_peak: float
     list_span: float
     store_peak: float
-    listed: float  # seconds until all are
+    listed: float  # seconds until all processes are listed
     fell: int
     acked: int
-    over: int  # ops that failed, were late, or had no leave
+    over: int  # requests that failed, were late, or got no token
 
 
-def cold(name: str, size: Size, kind: type[Fixed], rate: float = 10.0) -> Start:
-    """`rate`: calls of a process a second."""
-    crowd = Crowd(size.seed, size.servers, kind, rate)
-    since = COLD[name](crowd)
-    world = crowd.world
+def cold(name: str, size: Size, kind: type[BaselineProcess], rate: float = 10.0) -> Start:
+    """Run one slow-start scenario; `rate`: calls per second of one process."""
+    fleet = ProcessFleet(size.seed, size.servers, kind, rate)
+    since = COLD[name](fleet)
+    world = fleet.world
     world.run(since)
-    listed = crowd.until_listed(since + OVER)
+    listed = fleet.run_until_listed(since + OVER)
     world.run(since + OVER)
-    steady, usual = crowd.many / INTERVAL_SECONDS, crowd.many * crowd.rate
+    steady, usual = fleet.count / INTERVAL_SECONDS, fleet.count * fleet.rate
     return Start(
-        crowd.roster.came.peak(since, since + OVER) / steady,
-        crowd.roster.came.peak(since, since + OVER, round(INTERVAL_SECONDS / 0.1)) / steady,
-        crowd.store.came.peak(since, since + OVER) / usual,
+        fleet.registry.load.peak(since, since + OVER) / steady,
+        fleet.registry.load.peak(since, since + OVER, round(INTERVAL_SECONDS / 0.1)) / steady,
+        fleet.dependency.load.peak(since, since + OVER) / usual,
         listed,
-        crowd.store.fell,
-        crowd.total("acked"),
-        sum(map(crowd.total, ("failed", "late", "turned_away", "without_leave"))),
+        fleet.dependency.fall_count,
+        fleet.total("acked"),
+        sum(map(fleet.total, ("failed", "late", "turned_away", "without_leave"))),
     )
 
 
 def started(name: str, size: Size, rate: float = 10.0) -> Start:
-    """With the decisions; what must hold is asserted."""
+    """Run one scenario with slow start and assert its guarantees."""
     now = cold(name, size, Process, rate)
     holds(now.listed < inf, f"{name}: not all are listed", size, [])
     holds(not now.fell, f"{name}: the database fell", size, [])
@@ -393,7 +393,7 @@
 
 
 def colds(name: str, size: Size) -> list[Row]:
-    now, before = started(name, size), cold(name, size, Fixed)
+    now, before = started(name, size), cold(name, size, BaselineProcess)
     rows = []
     for way, told in (("", now), (", before", before)):
         rows += [
@@ -407,70 +407,74 @@
     return rows
 
 
-# Members.
+# Membership.
 
 
 def members(name: str, size: Size) -> list[Row]:
-    """The decisions of members themselves: how long until all agree, after each kind of change."""
-    talk = Talk(size.seed, size.servers, size.nodes)
+    """The real membership protocol: how long it takes until all agree after each kind of change."""
+    fleet = SimulatedMembers(size.seed, size.servers, size.nodes)
     many = size.servers + size.nodes
     rng = Random(f"{name} {size.seed}")
     rows = [row(f"{name}: processes", many)]
     most = 120.0
-    found = talk.until(talk.agreed, most)
+    found = fleet.run_until(fleet.all_agree, most)
     rows.append(row(f"{name}: started at once, until all agree", found, "s"))
-    talk.world.run(talk.world.now + 10.0)
-    talk.messages = talk.octets = 0
-    talk.world.run(talk.world.now + 20.0)
+    fleet.world.run(fleet.world.now + 10.0)
+    fleet.messages = fleet.octets = 0
+    fleet.world.run(fleet.world.now + 20.0)
     rows += [
-        row(f"{name}: messages a process a second, calm", talk.messages / many / 20),
-        row(f"{name}: octets a process a second, calm", talk.octets / many / 20),
+        row(f"{name}: messages a process a second, calm", fleet.messages / many / 20),
+        row(f"{name}: octets a process a second, calm", fleet.octets / many / 20),
     ]
 
     def after(what: str, agreed: Callable[[], bool], first: Callable[[], bool] | None = None) -> None:
         if first is not None:
-            rows.append(row(f"{name}: {what}, first", talk.until(first, most), "s"))
+            rows.append(row(f"{name}: {what}, first", fleet.run_until(first, most), "s"))
         spent = rows[-1]["value"] if first is not None else 0.0
-        rows.append(row(f"{name}: {what}, all", spent + talk.until(agreed, most), "s"))
-        holds(rows[-1]["value"] < inf, f"{name}: {what}: no agreement", size, talk.world.log)
-        talk.world.run(talk.world.now + 5.0)
+        rows.append(row(f"{name}: {what}, all", spent + fleet.run_until(agreed, most), "s"))
+        holds(rows[-1]["value"] < inf, f"{name}: {what}: no agreement", size, fleet.world.log)
+        fleet.world.run(fleet.world.now + 5.0)
 
-    servers = [one for one in talk.all if one.startswith("s")]
+    servers = [one for one in fleet.all if one.startswith("s")]
     gone, dead, back, deaf = rng.sample(servers, 4)
-    node = rng.choice([one for one in talk.all if one.startswith("n")])
-    talk.leave(gone)
-    after("farewell", lambda: talk.all_say(gone, Stand.GONE, Stand.UNKNOWN))
-    talk.start("s-new")
-    after("a server joins", lambda: talk.all_have("s-new"))
+    node = rng.choice([one for one in fleet.all if one.startswith("n")])
+    fleet.leave(gone)
+    after("farewell", lambda: fleet.all_report(gone, MemberStatus.GONE, MemberStatus.UNKNOWN))
+    fleet.start("s-new")
+    after("a server joins", lambda: fleet.all_know("s-new"))
     for what, one in (("a server dies", dead), ("a node dies", node)):
-        talk.kill(one)
-        after(what, partial(talk.all_say, one, Stand.DEAD), partial(talk.some_say, one, Stand.DEAD))
-    talk.kill(back)
-    talk.world.run(talk.world.now + 2.0)
-    talk.start(back)
-    after("dies, back after 2 s", lambda: talk.all_have(back))
-    before = talk.false_deaths.total()
-    there = [one.name for one in talk.there()]
+        fleet.kill(one)
+        after(
+            what,
+            partial(fleet.all_report, one, MemberStatus.DEAD),
+            partial(fleet.some_report, one, MemberStatus.DEAD),
+        )
+    fleet.kill(back)
+    fleet.world.run(fleet.world.now + 2.0)
+    fleet.start(back)
+    after("dies, back after 2 s", lambda: fleet.all_know(back))
+    before = fleet.false_deaths.total()
+    there = [one.name for one in fleet.alive_members()]
     half = rng.sample(there, len(there) // 2)
-    talk.net.cuts = {(deaf, target) for target in half if target != deaf}
-    talk.world.run(talk.world.now + 40.0)
-    falsely = talk.false_deaths.total() - before
+    fleet.net.cuts = {(deaf, target) for target in half if target != deaf}
+    fleet.world.run(fleet.world.now + 40.0)
+    falsely = fleet.false_deaths.total() - before
     rows.append(row(f"{name}: found dead falsely, half can't hear it", falsely))
-    talk.net.heal()
-    after("one-way cut heals", talk.agreed)
-    talk.net.split(half, [one for one in there if one not in half])
-    sides = [[one for one in talk.there() if (one.name in half) is mine] for mine in (True, False)]
+    fleet.net.heal()
+    after("one-way cut heals", fleet.all_agree)
+    fleet.net.split(half, [one for one in there if one not in half])
+    sides = [[one for one in fleet.alive_members() if (one.name in half) is mine] for mine in (True, False)]
 
     def parted() -> bool:
-        return all(one.stand(other.name) == Stand.DEAD for one in sides[0] for other in sides[1])
+        return all(one.status(other.name) == MemberStatus.DEAD for one in sides[0] for other in sides[1])
 
     after("cut in halves, each finds the other dead", parted)
-    talk.net.heal()
-    after("halves heal", talk.agreed)
+    fleet.net.heal()
+    after("halves heal", fleet.all_agree)
     return rows
 
 
-# Moves.
+# Migration.
 
 TERMS = Terms(act="move", uneven=1.25, at_once=8, an_hour=480, rest=60.0, settle=60.0, period=STEP)
 
@@ -480,7 +484,7 @@
 
 
 def surge(moving: Moving, rng: Random) -> None:
-    """One tenant in a hundred has four times its usual connections from here on."""
+    """From now on one tenant in a hundred opens four times as many connections as usual."""
     moving.run(600.0)
     for name in rng.sample(sorted(moving.rates), max(1, len(moving.rates) // 100)):
         moving.rates[name] *= 4
@@ -488,8 +492,7 @@
 
 
 def trouble(moving: Moving, rng: Random) -> None:
-    """Nodes die and come back while moves are on their way, one's snapshot stands still, the fleet is cut in
-    halves."""
+    """Nodes die and restart during migrations, a node stops sending snapshots, the fleet is partitioned."""
     names = sorted(moving.files)
     moving.run(260.0)
     for _ in range(6):
@@ -582,12 +585,12 @@
 def main(
     names: tuple[str, ...], servers: int, nodes: int, tenants: int, customers: int, seed: int, as_json: bool
 ) -> None:
-    """Play the fleet's decisions without sockets.
+    """Run scenarios of the fleet's decisions without sockets.
 
     \b
     Example: python -m benchmarks.simulated --play server-joins --seed 7
     """
-    gc.disable()  # nothing here is in cycles, and there is much of it
+    gc.disable()  # there are many objects, but no reference cycles
     size, failed = Size(seed, servers, nodes, tenants, customers), 0
     for name in names or plays():
         began = time.perf_counter()
--- a/benchmarks/slow_start.py
+++ b/benchmarks/slow_start.py
@@ -1,12 +1,13 @@
-"""Cold starts of many, as ratios of the fullest 0.1 s to the steady rate. `python -m benchmarks.slow_start`.
-
-`--simulated`: the decisions in simulated time, 300 processes without any spread, beside what the program did
-before. Else processes of the program against one list and one database: started together, stopped and let go
-at once, list and database back at one moment, a list that hangs, says 503 or refuses, a database that is back
-at half of what is asked of it and later whole, a third killed and started again. `--baseline DIR`: another
-checkout's root, played beside. Quote the ratios: times are this machine's. What counts load has a process of
-its own. Where those who ask stood still, calls that come back to them meanwhile are late, and so are routers'
-ops: the database's fullest window then tells of them as well.
+"""Simultaneous starts and recoveries, as the fullest 0.1 s relative to the steady rate.
+`python -m benchmarks.slow_start`.
+
+`--simulated` runs the decisions in simulated time: 300 processes without random variation, compared with a
+baseline without slow start. Otherwise real processes run against one registry and one dependency: started
+together, stopped and resumed together, registry and dependency recovering together, a registry that hangs,
+answers 503 or refuses connections, a dependency that recovers to half of the load and later fully, and a
+third of the processes killed and restarted. `--baseline DIR` compares with another checkout. Compare the
+ratios: times depend on the machine. Load is measured in a separate process. If the routers' process stalls,
+replies and requests are late, and the dependency's fullest window then includes them.
 """
 
 from __future__ import annotations
@@ -40,25 +41,33 @@
 from fakes.dependency import WINDOW, Base, Door, List, Strength, Turns
 from fakes.faulty_link import held
 from fakes.namespaces import Apart, Far
-from fakes.slow_start import HEADROOM, PLAYS, TARGET, TIMEOUT, TOOK, Fault, play
+from fakes.slow_start import (
+    CALL_SECONDS,
+    CLIENT_TIMEOUT,
+    LATENCY_OBJECTIVE,
+    PLAYS,
+    REGISTRY_HEADROOM,
+    Fault,
+    play,
+)
 from thymeyoke.slow_start.heartbeat import INTERVAL_SECONDS
 
 ROOT = Path(__file__).parent.parent
-LIMIT = 900  # seconds that a process may live
-READY = 300.0  # seconds until all are listed and answering, at the most
-RATE = 2.0  # ops a second to each process, one call each
-FALLS = 4.0  # times its usual calls: the database falls over
-DOWN = 1.0
-PATIENCE = 2.0  # of the routers
-SLACK = 3.0  # seconds more, past which no answer comes any more, on however busy a machine
+LIMIT = 900  # maximum lifetime of a process in seconds
+READY = 300.0  # maximum seconds until all are listed and answer
+RATE = 2.0  # requests per second to each process, with one call each
+FALLS = 4.0  # load at which the dependency fails, relative to the usual calls
+DOWN = 1.0  # seconds that it is down after a failure
+PATIENCE = 2.0  # seconds that routers wait for an answer
+SLACK = 3.0  # further seconds after which no answer arrives, even on a busy machine
 CALM, HOLD, AWAY, AFTER = 8.0, 4.0, 6.0, 6.0  # seconds
-FIRST = -10  # of the stand-ins' priority, from that of the processes
-GONE, WEAK = 2.0, 6.0  # of the database that comes back at half its strength
+FIRST = -10  # nice value of the fakes relative to the processes
+GONE, WEAK = 2.0, 6.0  # seconds that the dependency is down, and then at half its capacity
 UP = re.compile(r"^at=([0-9.]+) .*what=up ", re.MULTILINE)
 
 
 class One:
-    """One process of the program, its processor, and a router that asks it at a steady rate."""
+    """One process of the program, its processor, and a router that sends requests at a steady rate."""
 
     def __init__(self, number: int, crowd: Hundreds, rate: float) -> None:
         self.name, self.crowd, self.rate = f"n{number}", crowd, rate
@@ -66,10 +75,10 @@
         self.port: int = self.holder.getsockname()[1]
         self.process: subprocess.Popen[bytes] | None = None
         self.started = self.answered = 0.0
-        self.up_cpu = 0.0  # processor seconds until its first answer
+        self.up_cpu = 0.0  # CPU seconds until its first answer
         self.asked = self.acked = 0
-        self.answers = 0  # acked, nacked or failed
-        self.lost = 0  # their connection ended first
+        self.answers = 0  # served, rejected or failed
+        self.lost = 0  # requests whose connection ended first
 
     def start(self) -> None:
         crowd = self.crowd
@@ -90,7 +99,7 @@
             self.process = subprocess.Popen(
                 [sys.executable, "-O", "-m", "thymeyoke", "serve", "--config", str(config)],
                 cwd=crowd.root, env=os.environ | {"PYTHONPATH": str(crowd.root)}, stderr=log, stdout=log,
-                stdin=subprocess.DEVNULL, preexec_fn=lambda: signal.alarm(LIMIT),  # it outlives the exec
+                stdin=subprocess.DEVNULL, preexec_fn=lambda: signal.alarm(LIMIT),  # survives the exec
             )  # fmt: skip
         with suppress(OSError):
             os.setpriority(os.PRIO_PROCESS, self.process.pid, crowd.nice)
@@ -105,8 +114,11 @@
             self.process.wait()
 
     async def ask(self, tasks: TaskGroup, phase: float) -> None:
-        """From when it listens on, ops at a steady rate, whatever comes of those before. Where this process
-        stood still, what it missed is left out: customers of many machines do not stand still together."""
+        """Send requests at a steady rate from when the process listens, whatever the earlier ones do.
+
+        Requests missed while this benchmark's own process was stalled are left out, as independent clients
+        would not stall together.
+        """
         router, next_at = None, time.time() + phase / self.rate
         while self.crowd.asking:
             await anyio.sleep(max(0.0, next_at - time.time()))
@@ -143,43 +155,48 @@
         return bool(self.answered) and self.crowd.list.names.get(self.name, 0.0) > self.started
 
     def up(self) -> float:
-        """When this life of it could report first, by its own log; 0 before that."""
+        """When this incarnation was first ready to report, from its log; 0 before that."""
         found = UP.findall((self.crowd.folder / f"{self.name}.log").read_text())
         return max([0.0, *(at for at in map(float, found) if at >= self.started)])
 
 
 class Hundreds:
-    """`many` of them, one list that takes HEADROOM times their steady reports, one database. The target
-    latency and op timeout of all op types, and how long routers wait at most, in seconds."""
+    """`many` processes, a registry with REGISTRY_HEADROOM times their steady rate of reports, a dependency.
+
+    `target` and `timeout` are the latency objective and client timeout of all request classes, `patience` is
+    the time that routers wait, all in seconds.
+    """
 
     def __init__(
-        self, many: int, root: Path = ROOT, rate: float = RATE, target: float = TARGET,
-        timeout: float = TIMEOUT, patience: float = PATIENCE,
+        self, many: int, root: Path = ROOT, rate: float = RATE, target: float = LATENCY_OBJECTIVE,
+        timeout: float = CLIENT_TIMEOUT, patience: float = PATIENCE,
     ) -> None:  # fmt: skip
         self.root, self.many = root, many
         self.target, self.timeout, self.patience = target, timeout, patience
         self.made = tempfile.TemporaryDirectory(prefix="thymeyoke-coldstart-")
         self.folder = Path(self.made.name)
         usual = many * rate * WINDOW
-        # Not under what a few calls more in one window are by chance.
+        # Allows for random variation of the calls in one window.
         falls = FALLS * usual + 3 * usual**0.5
         self.falls, self.half = falls, usual / 2
         self.nice = os.getpriority(os.PRIO_PROCESS, 0)
-        self.asking = True  # until the routers are to ask no more
-        self.turns = self.own = Turns()  # of the process that counts; of this one, which asks
-        self.list: List | Far = List(HEADROOM * many / INTERVAL_SECONDS)
-        self.base: Base | Far = Base(TOOK, Strength(falls, falls, DOWN))
+        self.asking = True  # whether the routers send requests
+        self.turns = self.own = Turns()  # stalls of the process that measures load, and of this one
+        self.list: List | Far = List(REGISTRY_HEADROOM * many / INTERVAL_SECONDS)
+        self.base: Base | Far = Base(CALL_SECONDS, Strength(falls, falls, DOWN))
         self.all = [One(number, self, rate) for number in range(many)]
 
     def apart(self) -> Apart:
-        """List and database in a process of their own: hundreds keep this one busy."""
+        """Run registry and dependency in a process of their own, as this one is busy with the routers."""
         self._close()
-        there = Apart(HEADROOM * self.many / INTERVAL_SECONDS, TOOK, self.falls, self.falls, DOWN)
+        there = Apart(
+            REGISTRY_HEADROOM * self.many / INTERVAL_SECONDS, CALL_SECONDS, self.falls, self.falls, DOWN
+        )
         self.list, self.base, self.turns = there.list, there.base, there.turns
         return there
 
     async def around(self, tasks: TaskGroup) -> None:
-        """Who counts has its turn before those that it counts, where the system lets it."""
+        """Start the fakes; raise their priority over the processes if the system permits it."""
         self.tasks = tasks
         with suppress(OSError):
             os.setpriority(os.PRIO_PROCESS, 0, self.nice + FIRST)
@@ -190,7 +207,7 @@
             await tasks.start(one.processor.run)
 
     async def start(self) -> float:
-        """All at once; seconds until the last of them is listed and has answered an op."""
+        """Start all at once; return the seconds until the last is listed and has answered a request."""
         began = time.time()
         for at, one in enumerate(self.all):
             one.start()
@@ -208,21 +225,21 @@
             one.signal(number)
 
     async def calm(self, span: float = CALM) -> tuple[float, float]:
-        """Steady rates of reports and calls."""
+        """Measure the steady rates of reports and calls."""
         await anyio.sleep(2.0)
         began = time.time()
         await anyio.sleep(span)
         return self.list.load.steady(began, time.time()), self.base.load.steady(began, time.time())
 
     async def hold(self, span: float = HOLD, after: float = AFTER) -> float:
-        """Stopped, and let go at one moment; that moment."""
+        """Stop all processes, resume them at the same time, and return that time."""
         self.signal(signal.SIGSTOP)
         await anyio.sleep(span)
         self.signal(signal.SIGCONT)
         return await self._after(after)
 
     async def away(self, span: float = AWAY, after: float = AFTER) -> float:
-        """List and database gone, and back at one moment; that moment."""
+        """Take registry and dependency down, bring them back at the same time, and return that time."""
         await self.list.shut()
         await self.base.shut()
         await anyio.sleep(span)
@@ -231,7 +248,7 @@
         return await self._after(after)
 
     async def list_is(self, fault: Fault, span: float = AWAY, after: float = AFTER) -> float:
-        """The list has a fault, for longer than an entry lives, and is sound again; the fault's moment."""
+        """Give the registry a fault for longer than an entry's lifetime; return the time it began."""
         began = time.time()
         await self.list_falls(fault)
         await anyio.sleep(span)
@@ -251,7 +268,7 @@
             await self.list.open(self.tasks)
 
     async def weak(self, gone: float = GONE, span: float = WEAK, after: float = AFTER) -> float:
-        """The database is gone, back at half of what is asked of it, and later whole; when it was back."""
+        """Take the dependency down, then back at half capacity, later fully; return when it was back."""
         await self.base.shut()
         await anyio.sleep(gone)
         await self.base.bears(self.half)
@@ -263,7 +280,7 @@
         return back
 
     async def again(self) -> float:
-        """A third is killed and started again at one moment; that moment. The rest is served meanwhile."""
+        """Kill a third of the processes and restart them at the same time; return that time."""
         some = self.all[::3]
         for one in some:
             one.signal(signal.SIGKILL)
@@ -303,9 +320,11 @@
 
 
 async def real(many: int, root: Path, alone: float, rate: float = RATE) -> dict[str, float]:
-    """What came of all plays, one behind the other; `alone`: seconds that one alone needs, 0 if not known.
-    What is allowed is one and a half times that, and the processor time of the starts: over the cores that
-    the system tells of, and as this machine gave it, until the last process was up."""
+    """Run all scenarios one after the other; `alone`: seconds that a single process needs, 0 if unknown.
+
+    The time allowed is 1.5 times `alone` plus the CPU time of all starts: divided by the number of cores, or
+    as measured until the last process was up.
+    """
     crowd, found = Hundreds(many, root, rate), {}
     try:
         async with crowd.apart() as there, anyio.create_task_group() as tasks:
@@ -337,7 +356,7 @@
                 plays: dict[str, Callable[[], Any]] = {
                     "let go at once": crowd.hold, "list and database back": crowd.away,
                     "list hangs": partial(crowd.list_is, Fault.SILENT),
-                    "list says 503": partial(crowd.list_is, Fault.TURNED),
+                    "list says 503": partial(crowd.list_is, Fault.ERROR_STATUS),
                     "list refuses": partial(crowd.list_is, Fault.REFUSED),
                     "database back at half its strength": crowd.weak,
                     "a third started again": crowd.third}  # fmt: skip
@@ -366,11 +385,12 @@
 
 
 def simulated(many: int, seeds: int) -> list[dict[str, Any]]:
-    """Ratios now, and before as the last column."""
+    """Ratios with slow start; the last column has those of the baseline."""
     rows: list[dict[str, Any]] = []
     for name, what in PLAYS.items():
         found = {
-            old: [play(what, many, seed=seed, old=old) for seed in range(seeds)] for old in (False, True)
+            old: [play(what, many, seed=seed, is_baseline=old) for seed in range(seeds)]
+            for old in (False, True)
         }
         for field, how in (("reports", max), ("calls", max), ("listed", max), ("again", max),
                            ("fallen", max), ("acked", statistics.mean)):  # fmt: skip
@@ -392,7 +412,7 @@
     resource.setrlimit(resource.RLIMIT_NOFILE, (min(hard, max(soft, 64 + 16 * many)), hard))
     if in_time:
         return show(simulated(many, seeds), as_json)
-    gc.disable()  # with all that a play keeps, one collection holds up those who ask for tenths of a second
+    gc.disable()  # a collection would stall the routers for tenths of a second
     return show(anyio.run(beside, many, baseline and baseline.resolve(), rate), as_json)
 
 
--- a/fakes/simulated_affinity.py
+++ b/fakes/simulated_affinity.py
@@ -1,8 +1,8 @@
-"""Nodes and app servers in one simulated time, without sockets: what `affinity` decides for a whole fleet,
-and a checker of the promise that a live seat does not change.
+"""Proxy nodes and app servers in simulated time, without sockets.
 
-Words go through their codec and take one tick; links may lose them, a node may be cut off, and nodes may hear
-of app servers at different moments. By seed.
+`World` runs real affinity tables and checks that a client with a live assignment keeps its server. Messages
+are encoded and decoded, and take one tick; links may lose them, nodes may be cut off, and nodes may learn of
+app servers at different times. Random choices depend on the seed.
 """
 
 from __future__ import annotations
@@ -13,221 +13,251 @@
 from typing import Any, NamedTuple
 
 from thymeyoke.affinity import wire
-from thymeyoke.affinity.controller import Seats, Tell
-from thymeyoke.affinity.rendezvous import Places
+from thymeyoke.affinity.controller import AffinityTable, SendMessage
+from thymeyoke.affinity.rendezvous import RendezvousHash
 from thymeyoke.membership.view import Member, Snapshot, State, Trust, View
 
-OLD = 1e6  # seconds that a server has served
-TRIES = 80  # of a connection that waits or fails
+LONG_SERVED_SECONDS = 1e6  # age of servers that were there before the start
+MAX_ATTEMPTS = 80  # of one connection
 
 
-class Facts(NamedTuple):
-    """What members say of an app server."""
+class ServerFacts(NamedTuple):
+    """The state of an app server as membership reports it."""
 
     state: State
-    life: int
-    begun: float  # when it came into the state
+    incarnation: int
+    state_since: float
     trust: Trust = Trust.SURE
 
     @property
-    def there(self) -> bool:
+    def is_present(self) -> bool:
         return self.trust > Trust.DEAD and self.state < State.GONE
 
 
 class World:
-    """`late`: by how much later a node hears of app servers, and thinks that they began earlier."""
+    """A simulated fleet. `late`: the delay in seconds with which a node learns of app servers."""
 
     def __init__(
-        self, nodes: Iterable[str] = "abc", servers: Iterable[str] = ("s1", "s2"), kind: type[Seats] = Seats,
-        linger: float = 8.0, margin: float = 1.0, most: int = 1000, ticks: int = 16,
-        late: Mapping[str, float] | None = None, seed: int = 1,
-    ) -> None:  # fmt: skip
-        self.now, self.kind, self.rng, self.loss = 1000.0, kind, Random(seed), 0.0
-        self.linger, self.margin, self.most, self.tick = linger, margin, most, margin / ticks
+        self,
+        nodes: Iterable[str] = "abc",
+        servers: Iterable[str] = ("s1", "s2"),
+        table_type: type[AffinityTable] = AffinityTable,
+        idle_timeout: float = 8.0,
+        margin: float = 1.0,
+        max_bindings: int = 1000,
+        ticks: int = 16,
+        late: Mapping[str, float] | None = None,
+        seed: int = 1,
+    ) -> None:
+        self.now, self.table_type, self.rng, self.loss = 1000.0, table_type, Random(seed), 0.0
+        self.idle_timeout, self.margin, self.max_bindings, self.tick = (
+            idle_timeout,
+            margin,
+            max_bindings,
+            margin / ticks,
+        )
         self.late = dict(late or {})
-        self.lives: Counter[str] = Counter()
-        self.servers: dict[str, Facts] = {}
-        self.seen: dict[tuple[str, str], Facts] = {}  # by node and server
-        self.news: list[tuple[float, str, str]] = []  # when a node hears of a server
-        self.nodes: dict[str, Seats] = {}
+        self.incarnations: Counter[str] = Counter()
+        self.servers: dict[str, ServerFacts] = {}
+        self.seen: dict[tuple[str, str], ServerFacts] = {}  # by node and server
+        self.pending_updates: list[tuple[float, str, str]] = []  # when a node learns of a server
+        self.nodes: dict[str, AffinityTable] = {}
         self.dead: set[str] = set()  # nodes
-        self.cut: set[str] = set()  # nodes that the others do not reach
-        self.mail: list[tuple[str, str, bytes]] = []
-        self.turns = 0  # times that a node heard of a server
-        self.known: tuple[Any, ...] = ()  # what views rest on: made anew as it changes, and at beats
-        self.beat_at = self.now
-        self.octets = 0
-        self.done: list[tuple[str, Any]] = []  # actions that are no words
-        self.opened: dict[int, list[tuple[str, str]]] = {}  # by customer: node and server of each connection
-        self.truth: dict[int, tuple[str, int, float]] = {}  # server, its life, until when once all closed
-        self.lost: list[str] = []  # live seats that changed
-        self.raced: list[str] = []  # the same, while a word of it was on its way to the node
-        self.excused: set[int] = set()  # customers of whom a node took what it alone knew with it
+        self.cut: set[str] = set()  # nodes cut off from the others
+        self.messages_in_flight: list[tuple[str, str, bytes]] = []
+        self.updates_received = 0  # updates of servers that nodes have received
+        self.known: tuple[Any, ...] = ()  # inputs of the views, which are rebuilt when these change
+        self.next_refresh_at = self.now
+        self.sent_bytes = 0
+        self.other_actions: list[tuple[str, Any]] = []  # actions other than messages
+        self.opened: dict[int, list[tuple[str, str]]] = {}  # by client: node and server of each connection
+        self.expected: dict[int, tuple[str, int, float]] = {}  # server, incarnation, expiry after closing
+        self.violations: list[str] = []  # live assignments that changed
+        self.raced: list[str] = []  # the same, while a message about it was on its way to the node
+        self.exempt_clients: set[int] = set()  # their bindings died with the only node that knew them
         for name in servers:
-            self.serve(name, begun=self.now - OLD)
+            self.start_server(name, state_since=self.now - LONG_SERVED_SECONDS)
         for name in nodes:
-            self.start(name)
-        self.flow(margin)
+            self.start_node(name)
+        self.advance(margin)
 
-    # What happens.
+    # Changes to the fleet.
 
-    def serve(self, name: str, begun: float | None = None, **changed: Any) -> None:
-        """A server in a new life, or changed in this one."""
+    def start_server(self, name: str, state_since: float | None = None, **changed: Any) -> None:
+        """Start a server in a new incarnation, or change the current one."""
         if changed:
             self.servers[name] = self.servers[name]._replace(**changed)
         else:
-            self.lives[name] += 1
-            self.servers[name] = Facts(State.SERVING, self.lives[name], self.now if begun is None else begun)
-        self.news += [(self.now + self.late.get(node, 0.0), node, name) for node in self.nodes]
-        if not (self.servers[name].there and self.servers[name].state == State.SERVING):
-            self.truth = {one: told for one, told in self.truth.items() if told[0] != name}
-        self._hear()
-
-    def _hear(self) -> None:
-        for at, node, name in self.news:
+            self.incarnations[name] += 1
+            self.servers[name] = ServerFacts(
+                State.SERVING, self.incarnations[name], self.now if state_since is None else state_since
+            )
+        self.pending_updates += [(self.now + self.late.get(node, 0.0), node, name) for node in self.nodes]
+        if not (self.servers[name].is_present and self.servers[name].state == State.SERVING):
+            self.expected = {one: told for one, told in self.expected.items() if told[0] != name}
+        self._apply_updates()
+
+    def _apply_updates(self) -> None:
+        for at, node, name in self.pending_updates:
             if at <= self.now:
-                self.turns += 1
+                self.updates_received += 1
                 self.seen[node, name] = self.servers[name]
-        self.news = [one for one in self.news if one[0] > self.now]
+        self.pending_updates = [one for one in self.pending_updates if one[0] > self.now]
 
-    def start(self, name: str) -> None:
-        self.lives[name] += 1
+    def start_node(self, name: str) -> None:
+        self.incarnations[name] += 1
         self.dead.discard(name)
-        self.nodes[name] = self.kind(self.now, name, self.linger, self.most, self.margin)
-        self.seen |= {(name, server): facts for server, facts in self.servers.items()}
+        self.nodes[name] = self.table_type(self.now, name, self.idle_timeout, self.max_bindings, self.margin)
+        self.seen |= {(name, server): server_facts for server, server_facts in self.servers.items()}
 
-    def kill(self, name: str) -> None:
-        seats = self.nodes.pop(name)
+    def kill_node(self, name: str) -> None:
+        table = self.nodes.pop(name)
         self.dead.add(name)
-        low = min((seats.peers[one].acked if one in seats.peers else 0 for one in self.nodes), default=0)
-        self.excused |= {one for _, one in seats.log.after(low)} | seats.recent.keys()
-        if self.now < seats.young_until:
-            self.excused |= seats.open.keys()
+        low = min(
+            (table.peers[one].acknowledged if one in table.peers else 0 for one in self.nodes), default=0
+        )
+        self.exempt_clients |= {one for _, one in table.log.entries_after(low)} | table.recent_clients.keys()
+        if self.now < table.fleet_young_until:
+            self.exempt_clients |= table.open_connections.keys()
         for one in list(self.opened):
-            self._over(one, [link for link in self.opened[one] if link[0] == name])
+            self._end_connections(
+                one, [connection for connection in self.opened[one] if connection[0] == name]
+            )
 
     def view(self, node: str) -> View:
         known: dict[str, Member] = {}
         for name in [*self.nodes, *self.dead]:
-            apart = name in self.dead or (name in self.cut) != (node in self.cut)
-            said = Snapshot(name, True, self.lives[name], 1, State.SERVING, "")
-            known[name] = Member(said, Trust.DEAD if apart else Trust.SURE, 0.0, 1.0)
+            is_cut_off = name in self.dead or (name in self.cut) != (node in self.cut)
+            snapshot = Snapshot(name, True, self.incarnations[name], 1, State.SERVING, "")
+            known[name] = Member(snapshot, Trust.DEAD if is_cut_off else Trust.SURE, 0.0, 1.0)
         for name in self.servers:
-            facts = self.seen.get((node, name))
-            if facts is not None:
-                since = max(0.0, self.now - facts.begun)
-                said = Snapshot(name, False, facts.life, 1, facts.state, "", since=since)
-                known[name] = Member(said, facts.trust, self.late.get(node, 0.0), 1.0)
+            server_facts = self.seen.get((node, name))
+            if server_facts is not None:
+                since = max(0.0, self.now - server_facts.state_since)
+                snapshot = Snapshot(
+                    name, False, server_facts.incarnation, 1, server_facts.state, "", since=since
+                )
+                known[name] = Member(snapshot, server_facts.trust, self.late.get(node, 0.0), 1.0)
         return View(1, self.now, node, known)
 
-    def flow(self, span: float) -> None:
-        """Time passes, a tick at a time."""
+    def advance(self, span: float) -> None:
+        """Advance the simulated time, tick by tick."""
         for _ in range(max(1, round(span / self.tick))):
             self.now += self.tick
-            self._hear()
-            mail, self.mail = self.mail, []
-            heard = set()
-            for sender, to, body in mail:
-                apart = (sender in self.cut) != (to in self.cut)
-                if to in self.nodes and not apart and self.rng.random() >= self.loss:
-                    self.nodes[to].heard(self.now, sender, wire.decode(body))
-                    heard.add(to)
-            known = len(self.seen), tuple(self.nodes), sorted(self.cut), self.turns
-            beat = known != self.known or self.now >= self.beat_at
-            if beat:
-                self.known, self.beat_at = known, self.now + self.margin / 4
-            for name, seats in self.nodes.items():
-                if beat:
-                    seats.saw(self.now, self.view(name))
-                if beat or name in heard or seats.next(self.now) <= self.now:
-                    self._settle(name, seats)
-
-    def _settle(self, name: str, seats: Seats) -> None:
-        made: dict[int, bytes] = {}  # most nodes are told the same
+            self._apply_updates()
+            messages_in_flight, self.messages_in_flight = self.messages_in_flight, []
+            receivers = set()
+            for sender, to, body in messages_in_flight:
+                is_cut_off = (sender in self.cut) != (to in self.cut)
+                if to in self.nodes and not is_cut_off and self.rng.random() >= self.loss:
+                    self.nodes[to].receive(self.now, sender, wire.decode(body))
+                    receivers.add(to)
+            known = len(self.seen), tuple(self.nodes), sorted(self.cut), self.updates_received
+            is_refresh = known != self.known or self.now >= self.next_refresh_at
+            if is_refresh:
+                self.known, self.next_refresh_at = known, self.now + self.margin / 4
+            for name, table in self.nodes.items():
+                if is_refresh:
+                    table.observe(self.now, self.view(name))
+                if is_refresh or name in receivers or table.next_advance_at(self.now) <= self.now:
+                    self._run_node(name, table)
+
+    def _run_node(self, name: str, table: AffinityTable) -> None:
+        encoded: dict[int, bytes] = {}  # most nodes get the same message
         for _ in range(64):
-            actions = seats.settle(self.now)
+            actions = table.advance(self.now)
             for action in actions:
-                if isinstance(action, Tell):
+                if isinstance(action, SendMessage):
                     which = id(action.body)
-                    body = made.get(which) or made.setdefault(which, wire.encode(action.body))
-                    assert len(body) <= wire.WORD_LIMIT, len(body)
-                    self.octets += len(body)
-                    self.mail.append((name, action.to, body))
+                    body = encoded.get(which) or encoded.setdefault(which, wire.encode(action.body))
+                    assert len(body) <= wire.MAX_MESSAGE_BYTES, len(body)
+                    self.sent_bytes += len(body)
+                    self.messages_in_flight.append((name, action.to, body))
                 else:
-                    self.done.append((name, action))
-            made.clear()
-            if not (seats.scan or seats.look):
+                    self.other_actions.append((name, action))
+            encoded.clear()
+            if not (table.clients_to_check or table.bindings_to_check):
                 break
 
-    # Customers.
-
-    def open(self, one: int, node: str) -> str:
-        """A connection comes to a node; the server that it reaches, "" where it waits for too long."""
-        if self.cut:  # two halves seat a customer twice
-            self.excused.add(one)
-        seats = self.nodes[node]
-        seat = seats.seat(self.now, one)
-        for _ in range(TRIES):
-            facts = self.servers.get(seat.server)
-            if facts and facts.there:
+    # Clients.
+
+    def open_connection(self, client: int, node: str) -> str:
+        """Open a connection at a node; return the server reached, or "" after too many attempts."""
+        if self.cut:  # both sides of a partition may assign the client
+            self.exempt_clients.add(client)
+        table = self.nodes[node]
+        assignment = table.assign(self.now, client)
+        for _ in range(MAX_ATTEMPTS):
+            server_facts = self.servers.get(assignment.server)
+            if server_facts and server_facts.is_present:
                 break
-            if seat.server:
-                seat = seats.failed(self.now, one, seat.server)
+            if assignment.server:
+                assignment = table.connect_failed(self.now, client, assignment.server)
             else:
-                self.flow(seat.wait)
-                seat = seats.seat(self.now, one)
+                self.advance(assignment.wait)
+                assignment = table.assign(self.now, client)
         else:
             return ""
-        seats.opened(self.now, one, seat.server)
-        before = self.truth.get(one)
-        moved = before and before[0] != seat.server and self.live(one) and one not in self.excused
-        raced = moved and self._on_its_way(one, node)
+        table.connection_opened(self.now, client, assignment.server)
+        before = self.expected.get(client)
+        moved = (
+            before
+            and before[0] != assignment.server
+            and self.has_live_assignment(client)
+            and client not in self.exempt_clients
+        )
+        raced = moved and self._on_its_way(client, node)
         if before and moved:
-            (self.raced if raced else self.lost).append(f"{one} at {node}: {before[0]} to {seat.server}")
-        self.opened.setdefault(one, []).append((node, seat.server))
-        facts = self.servers[seat.server]
-        if self.seen[node, seat.server][:2] == facts[:2] and not raced:
-            self.truth[one] = seat.server, facts.life, 0.0
-        else:  # raced: one of two holds. Or the node has not heard that it left, or restarted: it moves yet
-            self.truth.pop(one, None)
-        return seat.server
-
-    def _on_its_way(self, one: int, node: str) -> bool:
-        return any(seats.log.at.get(one, 0) > seats.peers[node].acked
-                   for seats in self.nodes.values() if node in seats.peers)  # fmt: skip
-
-    def live(self, one: int) -> bool:
-        """Whether the customer has a seat that must not change."""
-        server, life, until = self.truth[one]
-        facts = self.servers[server]
-        there = facts.there and (facts.state, facts.life) == (State.SERVING, life)
-        return there and (self.now < until or one in self.opened)
-
-    def close(self, one: int) -> None:
-        for node, server in list(self.opened.get(one, ())):
-            self._over(one, [(node, server)])
-            self.nodes[node].closed(self.now, one, server)
-
-    def _over(self, one: int, links: list[tuple[str, str]]) -> None:
-        for link in links:
-            self.opened[one].remove(link)
-        if not self.opened[one]:
-            del self.opened[one]
-            if one in self.truth:
-                self.truth[one] = *self.truth[one][:2], self.now + self.linger
-
-    def seats(self, one: int) -> set[str]:
-        """What the nodes that have joined name; one name where they agree."""
-        return {seats.seat(self.now, one).server for seats in self.nodes.values() if seats.joined}
-
-    def agree(self, customers: Iterable[int]) -> bool:
-        """Whether all nodes name the same for each, but for what expires at this moment."""
-        apart = [one for one in customers if len(self.seats(one)) != 1]
-        if apart:
-            self.flow(self.margin / 4)
-        return all(len(self.seats(one)) == 1 for one in apart)
-
-    def drawn_by(self, name: str, customers: Iterable[int], count: int = 1) -> list[int]:
-        """The first customers whose choice among all servers and `name` it is."""
-        places = Places({*self.servers, name})
-        return [one for one in customers if places.first(one) == name][:count]
+            (self.raced if raced else self.violations).append(
+                f"{client} at {node}: {before[0]} to {assignment.server}"
+            )
+        self.opened.setdefault(client, []).append((node, assignment.server))
+        server_facts = self.servers[assignment.server]
+        if self.seen[node, assignment.server][:2] == server_facts[:2] and not raced:
+            self.expected[client] = assignment.server, server_facts.incarnation, 0.0
+        else:  # two bindings compete, or the node does not know yet that the server left or restarted
+            self.expected.pop(client, None)
+        return assignment.server
+
+    def _on_its_way(self, client: int, node: str) -> bool:
+        return any(table.log.number_by_client.get(client, 0) > table.peers[node].acknowledged
+                   for table in self.nodes.values() if node in table.peers)  # fmt: skip
+
+    def has_live_assignment(self, client: int) -> bool:
+        """Whether the client has an assignment that must not change."""
+        server, incarnation, until = self.expected[client]
+        server_facts = self.servers[server]
+        is_present = server_facts.is_present and (server_facts.state, server_facts.incarnation) == (
+            State.SERVING,
+            incarnation,
+        )
+        return is_present and (self.now < until or client in self.opened)
+
+    def close_connections(self, client: int) -> None:
+        for node, server in list(self.opened.get(client, ())):
+            self._end_connections(client, [(node, server)])
+            self.nodes[node].connection_closed(self.now, client, server)
+
+    def _end_connections(self, client: int, connections: list[tuple[str, str]]) -> None:
+        for connection in connections:
+            self.opened[client].remove(connection)
+        if not self.opened[client]:
+            del self.opened[client]
+            if client in self.expected:
+                self.expected[client] = *self.expected[client][:2], self.now + self.idle_timeout
+
+    def chosen_servers(self, client: int) -> set[str]:
+        """The servers that the joined nodes choose for a client; just one if they agree."""
+        return {table.assign(self.now, client).server for table in self.nodes.values() if table.has_joined}
+
+    def agree(self, clients: Iterable[int]) -> bool:
+        """Whether all nodes choose the same server for each client, except for bindings that expire now."""
+        disagreeing = [client for client in clients if len(self.chosen_servers(client)) != 1]
+        if disagreeing:
+            self.advance(self.margin / 4)
+        return all(len(self.chosen_servers(client)) == 1 for client in disagreeing)
+
+    def clients_choosing(self, name: str, clients: Iterable[int], count: int = 1) -> list[int]:
+        """The first clients whose hash chooses `name` among it and all servers."""
+        places = RendezvousHash({*self.servers, name})
+        return [client for client in clients if places.first_choice(client) == name][:count]
--- a/fakes/simulated_fleet.py
+++ b/fakes/simulated_fleet.py
@@ -1,11 +1,11 @@
-"""A fleet in simulated time: many nodes and app servers, thousands of customers, no socket, one seed.
+"""A fleet in simulated time: many nodes and app servers, thousands of clients, no sockets, one seed.
 
-`World` is a heap of moments, `Net` the ways between processes (late, lossy, cut, cut one way only). Nodes are
-built on the decisions as they stand: `affinity.decide.Seats` for each. What they know of each other comes
-from `Eyes`, a stand-in for members: each process tells of itself, each link is late by a span of its own, and
-whoever is unheard is unsure, then dead. (Members' own decisions are played in `simulated_members.py`.)
+`World` is a queue of events, `Net` the network between processes (delays, losses, cuts in one or both
+directions). Each node runs a real `AffinityTable`. Nodes see each other through `DelayedView`, a stand-in for
+membership: each process publishes snapshots, each link has its own delay, and a process without new snapshots
+becomes unsure, then dead. (`simulated_membership.py` runs the real membership protocol.)
 
-Whatever a play does is drawn from its seed: the same seed, the same play. Spans are seconds.
+All random choices depend on the seed, so that a run can be repeated. Times are in seconds.
 """
 
 from __future__ import annotations
@@ -18,38 +18,39 @@
 from random import Random
 from typing import Any, NamedTuple
 
-from thymeyoke.affinity import wire as seats_wire
-from thymeyoke.affinity.clients import customer
-from thymeyoke.affinity.controller import Handed, Ready, Seats, Tell
+from thymeyoke.affinity import wire as affinity_wire
+from thymeyoke.affinity.clients import client_key
+from thymeyoke.affinity.controller import AffinityTable, HandedOver, Joined, SendMessage
 from thymeyoke.affinity.messages import Message
-from thymeyoke.affinity.rendezvous import Places
+from thymeyoke.affinity.rendezvous import RendezvousHash
 from thymeyoke.membership.view import Member, Snapshot, State, Trust, View
 
-PERIOD = 1.0  # between two snapshots of one process
-TICK = 0.1  # between two looks at what seats want told: twice what a node takes
-CALM = 0.5  # the same, where nothing has changed
-LOOK = 1.0  # between two looks at the view
-UNSURE, DEAD = 4.0, 8.0  # periods unheard
-STALE, HALF = 3.0, 10.0  # periods from which on figures lose weight, and in which they lose half
-LATE_LEAST, LATE_MOST = 0.02, 0.8  # by which a link's snapshots are late
-WORD_LEAST, WORD_MOST = 0.002, 0.05  # by which a word is
-TRIES = 3  # connects of one connection
-GIVEN_UP = 5.0  # a connection that waits for its seat for so long is closed
-LINGER = 17.6
+PERIOD = 1.0  # between two snapshots of a process
+TICK = 0.1  # between two runs of a node's affinity table, twice the interval of a real node
+IDLE_TICK_SECONDS = 0.5  # the same while nothing has changed
+VIEW_INTERVAL_SECONDS = 1.0  # between two views
+UNSURE_PERIODS, DEAD_PERIODS = 4.0, 8.0  # without a snapshot
+# Figures of this age begin to lose weight, and lose half of it in each of the second time.
+STALE_PERIODS, HALF_WEIGHT_PERIODS = 3.0, 10.0
+MIN_SNAPSHOT_DELAY, MAX_SNAPSHOT_DELAY = 0.02, 0.8  # constant for each link
+MIN_MESSAGE_DELAY, MAX_MESSAGE_DELAY = 0.002, 0.05  # drawn for each message
+MAX_CONNECT_ATTEMPTS = 3  # per client connection
+MAX_WAIT_SECONDS = 5.0  # a connection that waits longer for its assignment is closed
+IDLE_TIMEOUT = 17.6
 
-HOLD = 40.0  # that a connection lives, in the mean
-SECOND = 0.25  # of them: another one beside it
-WITHIN = 0.75  # of the customers: back within the linger
+MEAN_CONNECTION_SECONDS = 40.0  # mean lifetime of a connection
+SECOND_CONNECTION_SHARE = 0.25  # of connections during which the client opens a second one
+RETURN_SHARE = 0.75  # of clients that return within the idle timeout
 
 
 class World:
-    """One clock, one source of chance, and what happens next."""
+    """A simulated clock, a seeded random generator and a queue of events."""
 
     def __init__(self, seed: int) -> None:
         self.seed, self.rng, self.now = seed, Random(seed), 0.0
         self.heap: list[tuple[float, int, Callable[..., Any], tuple[Any, ...]]] = []
         self.numbers = count()
-        self.log: list[tuple[float, str]] = []  # what was done to the fleet, for whoever replays a seed
+        self.log: list[tuple[float, str]] = []  # changes made to the fleet, for replaying a seed
 
     def at(self, moment: float, do: Callable[..., Any], *args: Any) -> None:
         heappush(self.heap, (max(moment, self.now), next(self.numbers), do, args))
@@ -69,8 +70,8 @@
 
 
 class Net:
-    """The ways between processes, by name. `cuts` go one way; whoever has a side reaches that side alone, and
-    those that have none."""
+    """The network between processes, by name. `cuts` are one-way; a process with a side only reaches
+    processes of that side and those without a side."""
 
     def __init__(self, world: World, loss: float = 0.0) -> None:
         self.world, self.loss = world, loss
@@ -96,39 +97,39 @@
 
 
 class Process:
-    """One life of one process, as it is in truth."""
+    """One incarnation of a process, with its true state."""
 
-    def __init__(self, world: World, name: str, node: bool, life: int, served: float = 0.0) -> None:
-        self.world, self.name, self.node, self.life = world, name, node, life
+    def __init__(self, world: World, name: str, node: bool, incarnation: int, served: float = 0.0) -> None:
+        self.world, self.name, self.node, self.incarnation = world, name, node, incarnation
         self.state, self.state_at = State.SERVING, world.now - served
         self.alive, self.sequence = True, 0
-        self.told: deque[tuple[float, Snapshot]] = deque(maxlen=4)
+        self.published: deque[tuple[float, Snapshot]] = deque(maxlen=4)
         self.room = 0
-        self.connections: dict[int, Connection] = {}  # in the order in which they were opened
+        self.connections: dict[int, Connection] = {}  # oldest first
 
     def figures(self) -> dict[str, Any]:
         return {"connections": len(self.connections), "room": max(0, self.room - len(self.connections))}
 
-    def tell(self) -> None:
-        """A new snapshot; what has changed its state says so at once."""
+    def publish(self) -> None:
+        """Publish a new snapshot: periodically, and at once when the state has changed."""
         self.sequence += 1
         now = self.world.now
-        self.told.append((now, Snapshot(
-            self.name, self.node, self.life, self.sequence, self.state, f"{self.name}:1",
+        self.published.append((now, Snapshot(
+            self.name, self.node, self.incarnation, self.sequence, self.state, f"{self.name}:1",
             "" if self.node else f"{self.name}:2", now - self.state_at, **self.figures())))  # fmt: skip
 
-    def become(self, state: State) -> None:
+    def change_state(self, state: State) -> None:
         self.state, self.state_at = state, self.world.now
-        self.tell()
+        self.publish()
 
-    def beat(self) -> None:
+    def publish_periodically(self) -> None:
         if self.alive:
-            self.tell()
-            self.world.after(PERIOD, self.beat)
+            self.publish()
+            self.world.after(PERIOD, self.publish_periodically)
 
 
-class Seen:
-    """What one viewer has of one process."""
+class ObservedProcess:
+    """What one viewer knows of one process."""
 
     __slots__ = ("at", "late", "snapshot", "trust")
 
@@ -137,20 +138,25 @@
         self.at, self.late, self.trust = -inf, late, Trust.DEAD
 
 
-class Eyes:
-    """One viewer's view, made of what was told and could come through."""
+class DelayedView:
+    """One viewer's view, built from the published snapshots that have reached it."""
 
     def __init__(self, world: World, net: Net, me: Process, period: float = PERIOD) -> None:
         self.world, self.net, self.me, self.period = world, net, me, period
-        self.seen: dict[str, Seen] = {}
+        self.seen: dict[str, ObservedProcess] = {}
         self.version = 0
-        self.patience = world.rng.uniform(0.8, 1.2)  # no two viewers find one dead at the same moment
+        self.detection_factor = world.rng.uniform(
+            0.8, 1.2
+        )  # differs, so that viewers declare a process dead at different times
 
-    def look(self, processes: Collection[Process]) -> View:
+    def current_view(self, processes: Collection[Process]) -> View:
         now, me, net, rng = self.world.now, self.me.name, self.net, self.world.rng
         free = not (net.cuts or net.sides)
-        unsure, dead = UNSURE * self.period * self.patience, DEAD * self.period * self.patience
-        stale, half = STALE * self.period, HALF * self.period
+        unsure, dead = (
+            UNSURE_PERIODS * self.period * self.detection_factor,
+            DEAD_PERIODS * self.period * self.detection_factor,
+        )
+        stale, half = STALE_PERIODS * self.period, HALF_WEIGHT_PERIODS * self.period
         members: dict[str, Member] = {}
         for one in processes:
             name = one.name
@@ -158,9 +164,9 @@
                 continue
             seen = self.seen.get(name)
             if seen is None:
-                seen = self.seen[name] = Seen(rng.uniform(LATE_LEAST, LATE_MOST))
+                seen = self.seen[name] = ObservedProcess(rng.uniform(MIN_SNAPSHOT_DELAY, MAX_SNAPSHOT_DELAY))
             if (free or net.reaches(name, me)) and not net.loses():
-                self._hear(one, seen, now)
+                self._receive_snapshot(one, seen, now)
             snapshot = seen.snapshot
             if snapshot is None:
                 continue
@@ -172,17 +178,17 @@
                 self.version += 1
             weight = 1.0 if age <= stale else 0.5 ** ((age - stale) / half)
             members[name] = Member(snapshot, trust, age, weight * trust / 2)
-        own = self.me.told[-1]
+        own = self.me.published[-1]
         members[me] = Member(own[1], Trust.SURE, now - own[0], 1.0)
         return View(self.version, now, me, members)
 
-    def _hear(self, one: Process, seen: Seen, now: float) -> None:
-        told, by, last = one.told, now - seen.late, -1
-        while told[last][0] > by:
+    def _receive_snapshot(self, one: Process, seen: ObservedProcess, now: float) -> None:
+        published, by, last = one.published, now - seen.late, -1
+        while published[last][0] > by:
             last -= 1
-            if last < -len(told):
+            if last < -len(published):
                 return
-        at, snapshot = told[last]
+        at, snapshot = published[last]
         before = seen.snapshot
         if before is None or snapshot.order > before.order:
             if before is None or (snapshot.incarnation, snapshot.state) != (before.incarnation, before.state):
@@ -191,132 +197,132 @@
 
 
 class Server(Process):
-    """An app server. It takes connections until its door shuts."""
+    """An app server, which accepts connections until its listener closes."""
 
-    def takes(self) -> bool:
+    def accepts_connections(self) -> bool:
         return self.alive and self.state in (State.SERVING, State.LEAVING)
 
 
-class Plain(NamedTuple):
-    """App servers as plain hashing has them, for the baselines."""
+class PlainHashing(NamedTuple):
+    """Plain hashing over the app servers, as a baseline."""
 
     names: tuple[str, ...]
-    places: Places
+    places: RendezvousHash
 
     def modulo(self, number: int) -> str:
         return self.names[number % len(self.names)] if self.names else ""
 
 
 class Node(Process):
-    """One node: real seats, words that come late, a view that lags."""
+    """One proxy node with a real affinity table, delayed messages and a delayed view."""
 
-    def __init__(self, fleet: Fleet, name: str, life: int, served: float = 0.0) -> None:
-        super().__init__(fleet.world, name, True, life, served)
-        self.fleet, self.room = fleet, fleet.table
-        self.seats = Seats(self.world.now, name, fleet.linger, fleet.exceptions)
-        self.eyes = Eyes(self.world, fleet.net, self)
+    def __init__(self, fleet: Fleet, name: str, incarnation: int, served: float = 0.0) -> None:
+        super().__init__(fleet.world, name, True, incarnation, served)
+        self.fleet, self.room = fleet, fleet.max_connections
+        self.table = AffinityTable(self.world.now, name, fleet.idle_timeout, fleet.binding_limit)
+        self.delayed_view = DelayedView(self.world, fleet.net, self)
         self.inbox: list[tuple[float, int, str, Message | bytes]] = []
-        self.announced, self.ready, self.handed = True, False, False
+        self.is_announced, self.is_ready, self.has_handed_over = True, False, False
         self.look_at = self.world.now
         self.plain = fleet.plain(())
         self.counts: Counter[str] = Counter()
         self.view: View | None = None
-        self.head, self.busy, self.settle_at = 0, True, -inf  # it has heard something since it settled
+        self.head, self.has_received, self.settle_at = 0, True, -inf  # received a message since the last run
 
     def begin(self) -> None:
         self.state = State.COLD
-        self.tell()
-        self.world.after(self.world.rng.random() * PERIOD, self.beat)
+        self.publish()
+        self.world.after(self.world.rng.random() * PERIOD, self.publish_periodically)
         self.world.after(self.world.rng.random() * TICK, self.tick)
 
-    def hear(self) -> None:
-        """Words that are there by now."""
-        now, inbox, seats = self.world.now, self.inbox, self.seats
+    def receive_messages(self) -> None:
+        """Handle the messages that have arrived by now."""
+        now, inbox, table = self.world.now, self.inbox, self.table
         while inbox and inbox[0][0] <= now:
-            self.busy = True
+            self.has_received = True
             _, _, sender, body = heappop(inbox)
-            seats.heard(now, sender, seats_wire.decode(body) if isinstance(body, bytes) else body)
+            table.receive(now, sender, affinity_wire.decode(body) if isinstance(body, bytes) else body)
 
     def tick(self) -> None:
         if not self.alive:
             return
         now = self.world.now
-        self.hear()
+        self.receive_messages()
         if now >= self.look_at:
-            self.look_at = now + LOOK
+            self.look_at = now + VIEW_INTERVAL_SECONDS
             self.look()
-        if self.busy or self.seats.log.head != self.head or now >= self.settle_at:
+        if self.has_received or self.table.log.head != self.head or now >= self.settle_at:
             self._settle(now)
         self.world.after(TICK, self.tick)
 
     def _settle(self, now: float) -> None:
-        self.busy, self.settle_at = False, now + CALM
+        self.has_received, self.settle_at = False, now + IDLE_TICK_SECONDS
         sizes: dict[int, bytes] = {}
-        for action in self.seats.settle(now):
+        for action in self.table.advance(now):
             match action:
-                case Tell(to, body):
-                    coded = sizes.get(id(body))
-                    if coded is None:
-                        coded = sizes[id(body)] = seats_wire.encode(body)
-                    self.fleet.word(self, to, body, coded)
-                case Ready():
-                    self.ready = True
-                    self.become(State.SERVING)
-                case Handed():
-                    self.handed = True
-        self.counts.update(self.seats.counts)
-        self.seats.counts.clear()
-        self.head = self.seats.log.head
+                case SendMessage(to, body):
+                    encode_messages = sizes.get(id(body))
+                    if encode_messages is None:
+                        encode_messages = sizes[id(body)] = affinity_wire.encode(body)
+                    self.fleet.send_message(self, to, body, encode_messages)
+                case Joined():
+                    self.is_ready = True
+                    self.change_state(State.SERVING)
+                case HandedOver():
+                    self.has_handed_over = True
+        self.counts.update(self.table.counts)
+        self.table.counts.clear()
+        self.head = self.table.log.head
 
     def look(self) -> None:
-        self.view = view = self.eyes.look(self.fleet.processes.values())
-        self.seats.saw(self.world.now, view)
+        self.view = view = self.delayed_view.current_view(self.fleet.processes.values())
+        self.table.observe(self.world.now, view)
         self.plain = self.fleet.plain(tuple(
             name for name, one in sorted(view.members.items())
-            if one.there and not one.snapshot.node and one.snapshot.state == State.SERVING
+            if one.is_present and not one.snapshot.node and one.snapshot.state == State.SERVING
         ))  # fmt: skip
 
 
 class Connection:
-    __slots__ = ("customer", "node", "number", "server")
+    __slots__ = ("client", "node", "number", "server")
 
-    def __init__(self, number: int, customer: int, node: Node, server: Server) -> None:
-        self.number, self.customer, self.node, self.server = number, customer, node, server
+    def __init__(self, number: int, client: int, node: Node, server: Server) -> None:
+        self.number, self.client, self.node, self.server = number, client, node, server
 
 
-class Way:
-    """Changes of seats by one way of seating: customers that had to change, and that changed without need."""
+class AssignmentChanges:
+    """Clients whose server changed under one method of assignment, by necessity or without need."""
 
     def __init__(self) -> None:
         self.needed: set[int] = set()
         self.moved: set[int] = set()
         self.times = 0  # changes without need
 
-    def note(self, customer: int, needed: bool) -> None:
+    def note(self, client: int, needed: bool) -> None:
         if needed:
-            self.needed.add(customer)
+            self.needed.add(client)
         else:
-            self.moved.add(customer)
+            self.moved.add(client)
             self.times += 1
 
 
-Place = tuple[str, int]  # an app server's name and life
-NOWHERE: Place = ("", 0)
+ServerIncarnation = tuple[str, int]  # the name and incarnation of an app server
+NO_SERVER: ServerIncarnation = ("", 0)
 
 
-class Moved(NamedTuple):
-    """A change without need."""
+class UnneededChange(NamedTuple):
+    """A change of server that was not necessary."""
 
     at: float
-    customer: int
+    client: int
     node: str
-    before: Place
-    after: Place
+    before: ServerIncarnation
+    after: ServerIncarnation
 
 
-class Customers:
-    """Who opens connections, and where they went. A seat is live while there is a connection and for a linger
-    after it."""
+class Clients:
+    """The clients, their connections, and the servers that they reached. An assignment is live while the
+    client has a connection, and for the idle timeout after the last one."""
 
     def __init__(self, fleet: Fleet, many: int, tenants: int, skew: float = 0.9) -> None:
         self.fleet, self.world, rng = fleet, fleet.world, fleet.world.rng
@@ -324,205 +330,233 @@
         self.tenants = [f"t{at:04}" for at in range(tenants)]
         self.tenant = rng.choices(range(tenants), weights, k=many)
         self.number = [
-            customer(self.tenants[tenant], f"10.{at >> 16}.{at >> 8 & 255}.{at & 255}")
+            client_key(self.tenants[tenant], f"10.{at >> 16}.{at >> 8 & 255}.{at & 255}")
             for at, tenant in enumerate(self.tenant)
         ]
         self.open = [0] * many
-        self.until = [-inf] * many  # when the seat is over
+        self.until = [-inf] * many  # expiry of the assignment
         self.opened_at = [-inf] * many
-        self.last: list[Place] = [NOWHERE] * many
-        self.by_rendezvous: list[Place] = [NOWHERE] * many
-        self.by_modulo: list[Place] = [NOWHERE] * many
-        self.first: list[tuple[Plain, str] | None] = [None] * many  # the last answer of plain rendezvous
+        self.last: list[ServerIncarnation] = [NO_SERVER] * many
+        self.last_rendezvous: list[ServerIncarnation] = [NO_SERVER] * many
+        self.last_modulo: list[ServerIncarnation] = [NO_SERVER] * many
+        self.first: list[tuple[PlainHashing, str] | None] = [
+            None
+        ] * many  # last choice of plain rendezvous hashing
         self.counting = False
-        self.came: set[int] = set()  # that had a live seat and came again, since counting began
-        self.seats, self.rendezvous, self.modulo = Way(), Way(), Way()
+        self.returned: set[int] = set()  # clients that returned with a live assignment since counting began
+        self.affinity, self.rendezvous, self.modulo = (
+            AssignmentChanges(),
+            AssignmentChanges(),
+            AssignmentChanges(),
+        )
         self.counts: Counter[str] = Counter()
-        self.longest = 0.0  # that one waited for its seat
+        self.longest_wait = 0.0  # for an assignment, in seconds
         self.numbers = count()
-        self.early: set[int] = set()  # reached a life of an app server that the node did not know of yet
-        self.moved_at: list[Moved] = []
+        self.reached_unknown: set[int] = set()  # reached an incarnation that their node did not know yet
+        self.unneeded_changes: list[UnneededChange] = []
 
     def begin(self, since: float, within: float) -> None:
-        for who in range(len(self.number)):
-            self.world.at(since + self.world.rng.random() * within, self.come, who)
+        for client in range(len(self.number)):
+            self.world.at(since + self.world.rng.random() * within, self.connect, client)
 
     def count(self) -> None:
-        """Changes count from now on, and waits."""
-        self.counting, self.longest = True, 0.0
+        """Start counting changes and waits."""
+        self.counting, self.longest_wait = True, 0.0
 
-    def come(self, who: int, node: Node | None = None, since: float | None = None) -> None:
-        """A new connection, at a node of its tenant's."""
+    def connect(self, client: int, node: Node | None = None, since: float | None = None) -> None:
+        """Open a new connection, at a node of the client's tenant."""
         now = self.world.now
         if node is None or not node.alive:
-            node = self.fleet.pick(who, self.tenant[who])
+            node = self.fleet.pick(client, self.tenant[client])
         if node is None:
             self.counts["no_node"] += 1
-            return self.world.after(1.0, self.come, who)
-        node.hear()
-        number = self.number[who]
-        seat = node.seats.seat(now, number)
-        for _ in range(TRIES):
-            if not seat.server:
+            return self.world.after(1.0, self.connect, client)
+        node.receive_messages()
+        number = self.number[client]
+        assignment = node.table.assign(now, number)
+        for _ in range(MAX_CONNECT_ATTEMPTS):
+            if not assignment.server:
                 break
-            if self._taken(node, seat.server):
-                return self._reached(who, node, self.fleet.servers[seat.server], since)
+            if self._accepts(node, assignment.server):
+                return self._reached(client, node, self.fleet.servers[assignment.server], since)
             self.counts["connects_failed"] += 1
-            seat = node.seats.failed(now, number, seat.server)
+            assignment = node.table.connect_failed(now, number, assignment.server)
         since = now if since is None else since
-        if seat.wait > 0 and now - since < GIVEN_UP:
+        if assignment.wait > 0 and now - since < MAX_WAIT_SECONDS:
             self.counts["waited"] += 1
-            return self.world.after(seat.wait, self.come, who, node, since)
+            return self.world.after(assignment.wait, self.connect, client, node, since)
         self.counts["turned_away"] += 1
-        self.world.after(self.world.rng.uniform(0.5, 1.5), self.come, who)
+        self.world.after(self.world.rng.uniform(0.5, 1.5), self.connect, client)
 
-    def _reached(self, who: int, node: Node, server: Server, since: float | None) -> None:
+    def _reached(self, client: int, node: Node, server: Server, since: float | None) -> None:
         now, rng = self.world.now, self.world.rng
         if since is not None:
-            self.longest = max(self.longest, now - since)
-        node.seats.opened(now, self.number[who], server.name)
-        known = node.seats.servers.get(server.name)
-        if known is None or known.life != server.life:
-            self.early.add(who)
-        one = Connection(next(self.numbers), who, node, server)
+            self.longest_wait = max(self.longest_wait, now - since)
+        node.table.connection_opened(now, self.number[client], server.name)
+        known = node.table.servers.get(server.name)
+        if known is None or known.incarnation != server.incarnation:
+            self.reached_unknown.add(client)
+        one = Connection(next(self.numbers), client, node, server)
         node.connections[one.number] = server.connections[one.number] = one
         self.counts["opened"] += 1
-        self._compare(who, node, (server.name, server.life))
-        self.open[who] += 1
-        self.until[who], self.opened_at[who] = inf, now
-        span = rng.expovariate(1 / HOLD)
+        self._compare(client, node, (server.name, server.incarnation))
+        self.open[client] += 1
+        self.until[client], self.opened_at[client] = inf, now
+        span = rng.expovariate(1 / MEAN_CONNECTION_SECONDS)
         self.world.after(span, self.close, one)
-        if self.open[who] == 1 and rng.random() < SECOND:
-            self.world.after(rng.random() * min(span, HOLD), self._beside, who)
+        if self.open[client] == 1 and rng.random() < SECOND_CONNECTION_SHARE:
+            self.world.after(rng.random() * min(span, MEAN_CONNECTION_SECONDS), self._open_second, client)
 
-    def _beside(self, who: int) -> None:
-        if self.open[who] == 1:
-            self.come(who)
+    def _open_second(self, client: int) -> None:
+        if self.open[client] == 1:
+            self.connect(client)
 
-    def _compare(self, who: int, node: Node, place: Place) -> None:
-        """Where it went, and where it would have gone by plain hashing over what this node sees."""
-        plain, number = node.plain, self.number[who]
-        held = self.first[who]
+    def _compare(self, client: int, node: Node, place: ServerIncarnation) -> None:
+        """Compare the server reached with the choices of plain hashing over this node's view."""
+        plain, number = node.plain, self.number[client]
+        held = self.first[client]
         if held is None or held[0] is not plain:
-            held = self.first[who] = plain, plain.places.first(number)
-        by_rendezvous, by_modulo = held[1], plain.modulo(number)
-        if not (self._taken(node, by_rendezvous) and self._taken(node, by_modulo)):
-            # As with the seats' own, a connect fails first.
-            reached = self.fleet.plain(tuple(name for name in plain.names if self._taken(node, name)))
-            if not self._taken(node, by_rendezvous):
-                by_rendezvous = reached.places.first(number)
-            if not self._taken(node, by_modulo):
-                by_modulo = reached.modulo(number)
-        by_rendezvous, by_modulo = self._place(by_rendezvous), self._place(by_modulo)
-        if self.counting and self.world.now < self.until[who]:
-            self.came.add(who)
-            if place != self.last[who]:
-                needed = self._gone(node, self.last[who])
-                self.seats.note(who, needed)
+            held = self.first[client] = plain, plain.places.first_choice(number)
+        last_rendezvous, last_modulo = held[1], plain.modulo(number)
+        if not (self._accepts(node, last_rendezvous) and self._accepts(node, last_modulo)):
+            # As with the affinity table, a connect to an unreachable server fails first.
+            reached = self.fleet.plain(tuple(name for name in plain.names if self._accepts(node, name)))
+            if not self._accepts(node, last_rendezvous):
+                last_rendezvous = reached.places.first_choice(number)
+            if not self._accepts(node, last_modulo):
+                last_modulo = reached.modulo(number)
+        last_rendezvous, last_modulo = self._place(last_rendezvous), self._place(last_modulo)
+        if self.counting and self.world.now < self.until[client]:
+            self.returned.add(client)
+            if place != self.last[client]:
+                needed = self._gone(node, self.last[client])
+                self.affinity.note(client, needed)
                 if not needed:
-                    self.moved_at.append(Moved(self.world.now, who, node.name, self.last[who], place))
-            if by_rendezvous != self.by_rendezvous[who]:
-                self.rendezvous.note(who, self._gone(node, self.by_rendezvous[who]))
-            if by_modulo != self.by_modulo[who]:
-                self.modulo.note(who, self._gone(node, self.by_modulo[who]))
-        self.last[who], self.by_rendezvous[who], self.by_modulo[who] = place, by_rendezvous, by_modulo
-
-    def _taken(self, node: Node, name: str) -> bool:
+                    self.unneeded_changes.append(
+                        UnneededChange(self.world.now, client, node.name, self.last[client], place)
+                    )
+            if last_rendezvous != self.last_rendezvous[client]:
+                self.rendezvous.note(client, self._gone(node, self.last_rendezvous[client]))
+            if last_modulo != self.last_modulo[client]:
+                self.modulo.note(client, self._gone(node, self.last_modulo[client]))
+        self.last[client], self.last_rendezvous[client], self.last_modulo[client] = (
+            place,
+            last_rendezvous,
+            last_modulo,
+        )
+
+    def _accepts(self, node: Node, name: str) -> bool:
         server = self.fleet.servers.get(name)
-        return server is not None and server.takes() and self.fleet.net.reaches(node.name, name)
+        return server is not None and server.accepts_connections() and self.fleet.net.reaches(node.name, name)
 
-    def _place(self, name: str) -> Place:
+    def _place(self, name: str) -> ServerIncarnation:
         server = self.fleet.servers.get(name)
-        return (name, server.life) if server else NOWHERE
+        return (name, server.incarnation) if server else NO_SERVER
 
-    def _gone(self, node: Node, place: Place) -> bool:
-        """Whether that life of the app server is over, ends, or cannot be reached from here."""
+    def _gone(self, node: Node, place: ServerIncarnation) -> bool:
+        """Whether this incarnation of the server has ended, is leaving, or is unreachable from the node."""
         server = self.fleet.servers.get(place[0])
         return (
-            server is None or server.life != place[1] or not server.alive or server.state != State.SERVING
+            server is None
+            or server.incarnation != place[1]
+            or not server.alive
+            or server.state != State.SERVING
             or not self.fleet.net.reaches(node.name, server.name)
-        )  # fmt: skip
+        )
 
     def close(self, one: Connection, again: float = -1.0) -> None:
-        """It ends, by its customer or with a process; `again`: it comes back so soon."""
+        """Close a connection; `again`: seconds after which the client reconnects, if not negative."""
         if one.server.connections.pop(one.number, None) is None:
             return
         one.node.connections.pop(one.number, None)
-        now, who, rng = self.world.now, one.customer, self.world.rng
+        now, client, rng = self.world.now, one.client, self.world.rng
         if one.node.alive:
-            one.node.hear()
-            one.node.seats.closed(now, self.number[who], one.server.name)
-        self.open[who] -= 1
-        if not self.open[who]:
-            self.until[who] = now + self.fleet.linger
+            one.node.receive_messages()
+            one.node.table.connection_closed(now, self.number[client], one.server.name)
+        self.open[client] -= 1
+        if not self.open[client]:
+            self.until[client] = now + self.fleet.idle_timeout
         if again >= 0:
-            return self.world.after(again, self._beside if self.open[who] else self.come, who)
-        if not self.open[who]:
-            if rng.random() < WITHIN:
-                span = rng.random() * 0.95 * self.fleet.linger
+            return self.world.after(again, self._open_second if self.open[client] else self.connect, client)
+        if not self.open[client]:
+            if rng.random() < RETURN_SHARE:
+                span = rng.random() * 0.95 * self.fleet.idle_timeout
             else:
-                span = 1.05 * self.fleet.linger + rng.expovariate(0.5 / self.fleet.linger)
-            self.world.after(span, self._back, who)
+                span = 1.05 * self.fleet.idle_timeout + rng.expovariate(0.5 / self.fleet.idle_timeout)
+            self.world.after(span, self._back, client)
 
-    def _back(self, who: int) -> None:
-        if not self.open[who]:
-            self.come(who)
+    def _back(self, client: int) -> None:
+        if not self.open[client]:
+            self.connect(client)
 
 
 class Fleet:
-    """Everything of one play. `homes`: for each tenant the nodes that its customers come to; without them
-    they come to any."""
+    """A simulated fleet. `homes`: the nodes that each tenant's clients connect to; without them, any node."""
 
     def __init__(
-        self, seed: int, servers: int, nodes: int, tenants: int, customers: int, linger: float = LINGER,
-        loss: float = 0.01, coded: bool = False,
-    ) -> None:  # fmt: skip
+        self,
+        seed: int,
+        servers: int,
+        nodes: int,
+        tenants: int,
+        clients: int,
+        idle_timeout: float = IDLE_TIMEOUT,
+        loss: float = 0.01,
+        encode_messages: bool = False,
+    ) -> None:
         self.world = World(seed)
         self.net = Net(self.world, loss)
-        self.linger, self.coded = linger, coded
-        self.table = max(64, 4 * customers // nodes)
-        self.exceptions = max(1024, 32 * self.table)
+        self.idle_timeout, self.encode_messages = idle_timeout, encode_messages
+        self.max_connections = max(64, 4 * clients // nodes)
+        self.binding_limit = max(1024, 32 * self.max_connections)
         self.processes: dict[str, Process] = {}
         self.servers: dict[str, Server] = {}
         self.nodes: dict[str, Node] = {}
-        self.plains: dict[tuple[str, ...], Plain] = {}
+        self.plains: dict[tuple[str, ...], PlainHashing] = {}
         self.homes: list[list[str]] = []
-        self.words: Counter[str] = Counter()
+        self.messages_sent: Counter[str] = Counter()
         self.octets = 0
-        self.kept_most = self.kept_all = 0  # exceptions at one node, and at all nodes together, at most
-        self.lost_unshared = 0
-        self.ends: list[Counter[str]] = []  # counts of nodes that are gone
+        self.max_bindings = self.max_total_bindings = 0  # at one node, and at all nodes together
+        self.lost_unreplicated = 0
+        self.final_counts: list[Counter[str]] = []  # counts of nodes that have ended
         for at in range(servers):
             self.serve(f"s{at:03}", served=1000.0)
         for at in range(nodes):
             self.join(f"n{at:02}", served=1000.0)
-        self.customers = Customers(self, customers, tenants)
+        self.clients = Clients(self, clients, tenants)
         self.world.after(1.0, self._sample)
 
-    def plain(self, names: tuple[str, ...]) -> Plain:
+    def plain(self, names: tuple[str, ...]) -> PlainHashing:
         found = self.plains.get(names)
-        return found or self.plains.setdefault(names, Plain(names, Places(names)))
+        return found or self.plains.setdefault(names, PlainHashing(names, RendezvousHash(names)))
 
-    def word(self, sender: Node, to: str, body: Message, coded: bytes) -> None:
-        self.words[type(body).__name__] += 1
-        self.octets += len(coded)
+    def send_message(self, sender: Node, to: str, body: Message, encode_messages: bytes) -> None:
+        self.messages_sent[type(body).__name__] += 1
+        self.octets += len(encode_messages)
         node = self.nodes.get(to)
         if node is None or not node.alive or not self.net.reaches(sender.name, to) or self.net.loses():
             return
         rng = self.world.rng
-        late = self.world.now + rng.uniform(WORD_LEAST, WORD_MOST)
-        heappush(node.inbox, (late, next(self.world.numbers), sender.name, coded if self.coded else body))
+        late = self.world.now + rng.uniform(MIN_MESSAGE_DELAY, MAX_MESSAGE_DELAY)
+        heappush(
+            node.inbox,
+            (late, next(self.world.numbers), sender.name, encode_messages if self.encode_messages else body),
+        )
 
-    def pick(self, who: int, tenant: int) -> Node | None:
-        """A node that is announced; of its tenant's where there are some. While the fleet is cut, customers
-        are cut as well: most reach one side."""
+    def pick(self, client: int, tenant: int) -> Node | None:
+        """Pick an announced node, one of the tenant's if there is any.
+
+        While the fleet is partitioned, so are the clients: most of them reach one side only.
+        """
         rng = self.world.rng
         names = self.homes[tenant] if self.homes else ()
-        there = [node for name in names if (node := self.nodes.get(name)) and node.alive and node.announced]
+        there = [
+            node for name in names if (node := self.nodes.get(name)) and node.alive and node.is_announced
+        ]
         if not there:
-            there = [node for node in self.nodes.values() if node.alive and node.announced]
+            there = [node for node in self.nodes.values() if node.alive and node.is_announced]
         if self.net.sides:
-            side = who & 1 if rng.random() < 0.95 else 1 - (who & 1)  # some go round
+            side = client & 1 if rng.random() < 0.95 else 1 - (client & 1)  # some reach the other side
             there = [node for node in there if self.net.sides.get(node.name, side) == side]
         return rng.choice(there) if there else None
 
@@ -530,31 +564,31 @@
         self.world.run(until)
 
     def _sample(self) -> None:
-        many = [len(node.seats.kept) for node in self.nodes.values() if node.alive]
-        self.kept_most = max(self.kept_most, max(many, default=0))
-        self.kept_all = max(self.kept_all, sum(many))
+        many = [len(node.table.bindings) for node in self.nodes.values() if node.alive]
+        self.max_bindings = max(self.max_bindings, max(many, default=0))
+        self.max_total_bindings = max(self.max_total_bindings, sum(many))
         self.world.after(1.0, self._sample)
 
-    # What may be done to it.
+    # Changes to the fleet.
 
     def serve(self, name: str, served: float = 0.0) -> Server:
-        """An app server begins a life, where it has none."""
+        """Start an app server, unless it is running."""
         if name in self.servers and self.servers[name].alive:
             return self.servers[name]
-        life = self.servers[name].life + 1 if name in self.servers else 1
-        server = self.servers[name] = Server(self.world, name, False, life, served)
+        incarnation = self.servers[name].incarnation + 1 if name in self.servers else 1
+        server = self.servers[name] = Server(self.world, name, False, incarnation, served)
         self.processes[name] = server
         server.room = 1 << 16
-        server.tell()
-        self.world.after(self.world.rng.random() * PERIOD, server.beat)
-        self.world.note(f"{name} serves, life {life}")
+        server.publish()
+        self.world.after(self.world.rng.random() * PERIOD, server.publish_periodically)
+        self.world.note(f"{name} serves, life {incarnation}")
         return server
 
     def leave(self, name: str, door: float = 4.0) -> None:
-        """It takes what still comes until its door shuts, says farewell and is gone."""
+        """Drain an app server: it accepts connections until its listener closes, says farewell and ends."""
         server = self.servers[name]
         if server.alive and server.state == State.SERVING:
-            server.become(State.LEAVING)
+            server.change_state(State.LEAVING)
             self.world.note(f"{name} leaves")
             self.world.after(door, self._gone, server)
 
@@ -563,79 +597,84 @@
         if process.alive:
             self.world.note(f"{name} dies")
             if isinstance(process, Node):
-                self.lost_unshared += process.seats.unshared()
+                self.lost_unreplicated += process.table.unreplicated_bindings()
             self._end(process)
 
     def _gone(self, process: Process) -> None:
         if process.alive:
-            process.become(State.GONE)
+            process.change_state(State.GONE)
             self._end(process)
 
     def _end(self, process: Process) -> None:
         process.alive = False
         if isinstance(process, Node):
-            self.ends.append(process.counts)
+            self.final_counts.append(process.counts)
         rng = self.world.rng
         for one in list(process.connections.values()):
-            self.customers.close(one, rng.uniform(0.05, 1.5))
+            self.clients.close(one, rng.uniform(0.05, 1.5))
 
     def join(self, name: str, served: float = 0.0) -> Node:
-        """A node begins a life, where it has none; customers may come at once."""
+        """Start a node, unless it is running; clients may connect at once."""
         if name in self.nodes and self.nodes[name].alive:
             return self.nodes[name]
-        life = self.nodes[name].life + 1 if name in self.nodes else 1
-        node = self.nodes[name] = Node(self, name, life, served)
+        incarnation = self.nodes[name].incarnation + 1 if name in self.nodes else 1
+        node = self.nodes[name] = Node(self, name, incarnation, served)
         self.processes[name] = node
         node.begin()
-        self.world.note(f"{name} joins, life {life}")
+        self.world.note(f"{name} joins, life {incarnation}")
         return node
 
-    def retire(self, name: str, stay: float = 5.0) -> None:
-        """A node leaves: it hands over, is withdrawn, and ends its connections after a while."""
+    def drain_node(self, name: str, stay: float = 5.0) -> None:
+        """Drain a node: it hands over its bindings, is withdrawn, and ends after `stay` more seconds."""
         node = self.nodes[name]
         if not node.alive or node.state == State.LEAVING:
             return
         self.world.note(f"{name} leaves")
-        node.seats.leave(self.world.now)
-        node.become(State.LEAVING)
+        node.table.leave(self.world.now)
+        node.change_state(State.LEAVING)
         self.world.after(1.0, self._withdraw, node)
         self.world.after(1.0 + stay, self._gone, node)
 
     def _withdraw(self, node: Node) -> None:
-        node.announced = False
+        node.is_announced = False
 
     def split(self, *sides: Iterable[str]) -> None:
-        """Cut, and connections that go across break."""
+        """Partition the fleet and break connections between the sides."""
         self.net.split(*sides)
         self.world.note("cut")
         for node in self.nodes.values():
             for one in list(node.connections.values()):
                 if not self.net.reaches(node.name, one.server.name):
-                    self.customers.close(one, self.world.rng.uniform(0.5, 3.0))
+                    self.clients.close(one, self.world.rng.uniform(0.5, 3.0))
 
-    # What it has come to.
+    # Results.
 
     def count(self, name: str) -> int:
-        """A counter of seats, over all nodes that ever were."""
+        """A counter of the affinity tables, summed over all nodes that ever ran."""
         there = [node.counts for node in self.nodes.values() if node.alive]
-        return sum(one[name] for one in (*self.ends, *there))
+        return sum(one[name] for one in (*self.final_counts, *there))
+
+    def count_disagreements(self, sample: int = 500) -> tuple[int, int]:
+        """Count, in a sample of clients with a live assignment, those for whom nodes disagree, and those for
+        whom a node would choose another server than the current one (without `reached_unknown`).
 
-    def torn(self, sample: int = 500) -> tuple[int, int]:
-        """Of some customers with a live seat, drawn: those that two nodes would seat apart, and those that
-        some node would seat elsewhere than where they are (but for the `early`). Words of the last second may
-        still be on their way, as where an exception ran out at one node and was told anew by another."""
-        now, all_ = self.world.now, self.customers
+        Messages of the last second may still be on their way, for example about a binding that has expired at
+        one node and was renewed by another. Clients that connected within that second are left out.
+        """
+        now, all_ = self.world.now, self.clients
         live = [
-            who for who, until in enumerate(all_.until)
-            if until > now + 1.0 and now > all_.opened_at[who] + 1.0
-            and (server := self.servers.get(all_.last[who][0])) is not None and server.alive
-            and (server.life, server.state) == (all_.last[who][1], State.SERVING)
+            client for client, until in enumerate(all_.until)
+            if until > now + 1.0 and now > all_.opened_at[client] + 1.0
+            and (server := self.servers.get(all_.last[client][0])) is not None and server.alive
+            and (server.incarnation, server.state) == (all_.last[client][1], State.SERVING)
         ]  # fmt: skip
         some = Random(self.world.seed).sample(live, min(sample, len(live)))
-        nodes = [node for node in self.nodes.values() if node.alive and node.ready]
+        nodes = [node for node in self.nodes.values() if node.alive and node.is_ready]
         for node in nodes:
-            node.hear()
-        named = {who: {node.seats.seat(now, all_.number[who]).server for node in nodes} for who in some}
+            node.receive_messages()
+        named = {
+            client: {node.table.assign(now, all_.number[client]).server for node in nodes} for client in some
+        }
         apart = sum(len(names) > 1 for names in named.values())
-        elsewhere = {who for who, names in named.items() if names != {all_.last[who][0]}}
-        return apart, len(elsewhere - all_.early)
+        elsewhere = {client for client, names in named.items() if names != {all_.last[client][0]}}
+        return apart, len(elsewhere - all_.reached_unknown)
--- a/fakes/simulated_membership.py
+++ b/fakes/simulated_membership.py
@@ -1,5 +1,6 @@
-"""Members in simulated time: the decisions as they stand, one `Membership` a process, messages that are late
-and lost, ways that are cut. Spans are seconds; the period is 1 s.
+"""Membership in simulated time: a real `Membership` per process, delayed and lost messages, cut links.
+
+Times are in seconds; the protocol period is 1 s.
 """
 
 from __future__ import annotations
@@ -12,144 +13,150 @@
 from fakes.simulated_fleet import Net, World
 from thymeyoke.membership import wire
 from thymeyoke.membership.controller import Membership
-from thymeyoke.membership.failure_detector import Stand
+from thymeyoke.membership.failure_detector import MemberStatus
 from thymeyoke.membership.gossip import Message, Send
 from thymeyoke.membership.view import Load, Snapshot, State
 
 PERIOD = 1.0
-LATE_LEAST, LATE_MOST = 0.001, 0.02
-BEGINS = 1_700_000_000_000  # milliseconds, of the clock that incarnations are taken from
-STEP = 0.1  # between two looks at whether all agree
+MIN_DELAY_SECONDS, MAX_DELAY_SECONDS = 0.001, 0.02
+CLOCK_START_MILLISECONDS = 1_700_000_000_000  # start of the clock from which incarnations are taken
+POLL_SECONDS = 0.1  # between two checks of whether all agree
 
 
-class Talker:
-    """One life of one process."""
+class SimulatedMember:
+    """One incarnation of a process."""
 
-    def __init__(self, talk: Talk, name: str, node: bool, address: str) -> None:
-        self.talk, self.name, self.address, self.alive = talk, name, address, True
-        world = talk.world
+    def __init__(self, fleet: SimulatedMembers, name: str, node: bool, address: str) -> None:
+        self.fleet, self.name, self.address, self.alive = fleet, name, address, True
+        world = fleet.world
         loads = tuple(Load(f"t{at:04}", 40 - at, 0.5) for at in range(16)) if node else ()
-        own = Snapshot(
-            name, node, BEGINS + int(world.now * 1000), 0, State.SERVING, address,
+        own_snapshot = Snapshot(
+            name, node, CLOCK_START_MILLISECONDS + int(world.now * 1000), 0, State.SERVING, address,
             "" if node else "10.9.9.9:80", connections=200, room=1000, loads=loads,
-            holds=tuple(one.tenant for one in loads))  # fmt: skip
+            holds=tuple(load.tenant for load in loads))  # fmt: skip
         rng = Random(f"{world.seed} {name} {world.now}")
-        self.membership = Membership(world.now, own, tuple(talk.seeds), rng, PERIOD)
+        self.membership = Membership(world.now, own_snapshot, tuple(fleet.seeds), rng, PERIOD)
         self.wake_at = inf
-        self.settle()
+        self.run_due_actions()
 
-    def settle(self) -> None:
-        """Whatever is due now; called when something was heard, and at the moment that `next` names."""
+    def run_due_actions(self) -> None:
+        """Carry out all due actions; called after each received message and at `next_advance_at`."""
         if not self.alive:
             return
-        now = self.talk.world.now
-        for action in self.membership.settle(now):
+        now = self.fleet.world.now
+        for action in self.membership.advance(now):
             if isinstance(action, Send):
-                self.talk.send(self, action)
-            elif action.what == "now_dead":
-                self.talk.found_dead(self, action.name)
-        moment = self.membership.next(now)
-        if moment < self.wake_at or self.wake_at <= now:
-            self.wake_at = moment
-            if moment < inf:
-                self.talk.world.at(moment, self._wake, moment)
-
-    def _wake(self, moment: float) -> None:
-        if moment == self.wake_at:
+                self.fleet.send(self, action)
+            elif action.event == "now_dead":
+                self.fleet.declared_dead(self, action.name)
+        wake_time = self.membership.next_advance_at(now)
+        if wake_time < self.wake_at or self.wake_at <= now:
+            self.wake_at = wake_time
+            if wake_time < inf:
+                self.fleet.world.at(wake_time, self._wake, wake_time)
+
+    def _wake(self, wake_time: float) -> None:
+        if wake_time == self.wake_at:
             self.wake_at = inf
-            self.settle()
+            self.run_due_actions()
 
-    def hear(self, sender: str, message: Message) -> None:
+    def receive(self, sender: str, message: Message) -> None:
         if self.alive:
-            self.membership.heard(self.talk.world.now, sender, message)
-            self.settle()
+            self.membership.receive(self.fleet.world.now, sender, message)
+            self.run_due_actions()
 
-    def stand(self, name: str) -> Stand:
+    def status(self, name: str) -> MemberStatus:
         known = self.membership.known.get(name)
-        return Stand.UNKNOWN if known is None else known.stand
+        return MemberStatus.UNKNOWN if known is None else known.status
 
-    def life(self, name: str) -> int:
+    def incarnation(self, name: str) -> int:
         known = self.membership.known.get(name)
         return -1 if known is None else known.figures.incarnation
 
 
-class Talk:
-    """All processes. The first three are the seeds of the others."""
+class SimulatedMembers:
+    """All processes; the first three are the seeds of the others."""
 
     def __init__(self, seed: int, servers: int, nodes: int, loss: float = 0.01) -> None:
         self.world = World(seed)
         self.net = Net(self.world, loss)
         self.seeds: list[str] = []
-        self.all: dict[str, Talker] = {}
-        self.at: dict[str, Talker] = {}  # by address
+        self.all: dict[str, SimulatedMember] = {}
+        self.at: dict[str, SimulatedMember] = {}  # by address
         self.messages = self.octets = 0
-        self.false_deaths: Counter[str] = Counter()  # found dead and alive, by name
+        self.false_deaths: Counter[str] = Counter()  # live processes declared dead, by name
         names = [f"n{at:02}" for at in range(nodes)] + [f"s{at:03}" for at in range(servers)]
         self.addresses = {name: f"10.1.{at >> 8}.{at & 255}:6001" for at, name in enumerate(names)}
         self.seeds = [self.addresses[name] for name in names[:3]]
         for name in names:
             self.start(name)
 
-    def start(self, name: str) -> Talker:
+    def start(self, name: str) -> SimulatedMember:
         address = self.addresses.setdefault(name, f"10.2.0.{len(self.addresses) & 255}:6001")
-        one = self.all[name] = self.at[address] = Talker(self, name, name.startswith("n"), address)
-        return one
+        member = self.all[name] = self.at[address] = SimulatedMember(
+            self, name, name.startswith("n"), address
+        )
+        return member
 
     def kill(self, name: str) -> None:
         self.all[name].alive = False
 
     def leave(self, name: str) -> None:
-        one = self.all[name]
-        one.membership.leave(self.world.now)
-        one.settle()
-        one.alive = False
+        member = self.all[name]
+        member.membership.leave(self.world.now)
+        member.run_due_actions()
+        member.alive = False
 
-    def send(self, source: Talker, action: Send) -> None:
+    def send(self, source: SimulatedMember, action: Send) -> None:
         body = wire.encode(action.message)
         self.messages += 1
         self.octets += len(body)
-        target = self.at.get(action.to)
+        target = self.at.get(action.address)
         if target is None or not target.alive or not self.net.reaches(source.name, target.name):
             return
         if self.net.loses():
             return
         message = wire.decode(body)
         if message is not None:
-            late = self.world.rng.uniform(LATE_LEAST, LATE_MOST)
-            self.world.after(late, target.hear, source.address, message)
+            delay = self.world.rng.uniform(MIN_DELAY_SECONDS, MAX_DELAY_SECONDS)
+            self.world.after(delay, target.receive, source.address, message)
 
-    def found_dead(self, by: Talker, name: str) -> None:
-        if (one := self.all.get(name)) and one.alive:
+    def declared_dead(self, by: SimulatedMember, name: str) -> None:
+        if (member := self.all.get(name)) and member.alive:
             self.false_deaths[name] += 1
 
-    def there(self) -> list[Talker]:
-        return [one for one in self.all.values() if one.alive]
+    def alive_members(self) -> list[SimulatedMember]:
+        return [member for member in self.all.values() if member.alive]
 
-    def until(self, holds: Callable[[], bool], most: float) -> float:
-        """Run on until it holds; how long that took, or inf."""
+    def run_until(self, condition: Callable[[], bool], timeout: float) -> float:
+        """Run until the condition holds; return the seconds that took, or inf after the timeout."""
         began = self.world.now
-        while self.world.now < began + most:
-            self.world.run(self.world.now + STEP)
-            if holds():
+        while self.world.now < began + timeout:
+            self.world.run(self.world.now + POLL_SECONDS)
+            if condition():
                 return self.world.now - began
         return inf
 
-    def all_say(self, name: str, *stands: Stand) -> bool:
-        return all(one.stand(name) in stands for one in self.there() if one.name != name)
+    def all_report(self, name: str, *statuses: MemberStatus) -> bool:
+        return all(member.status(name) in statuses for member in self.alive_members() if member.name != name)
 
-    def some_say(self, name: str, *stands: Stand) -> bool:
-        return any(one.stand(name) in stands for one in self.there() if one.name != name)
+    def some_report(self, name: str, *statuses: MemberStatus) -> bool:
+        return any(member.status(name) in statuses for member in self.alive_members() if member.name != name)
 
-    def all_have(self, name: str) -> bool:
-        """In its present life, and sure."""
-        life = self.all[name].membership.own.incarnation
-        others = [one for one in self.there() if one.name != name]
-        return all(one.stand(name) == Stand.SURE and one.life(name) == life for one in others)
+    def all_know(self, name: str) -> bool:
+        """Whether all are sure of the process in its current incarnation."""
+        incarnation = self.all[name].membership.own.incarnation
+        others = [member for member in self.alive_members() if member.name != name]
+        return all(
+            member.status(name) == MemberStatus.SURE and member.incarnation(name) == incarnation
+            for member in others
+        )
 
-    def agreed(self) -> bool:
-        """All that are there have each other, and nobody else."""
-        names = {one.name for one in self.there()}
+    def all_agree(self) -> bool:
+        """Whether each live process is sure of all other live processes and of nobody else."""
+        names = {member.name for member in self.alive_members()}
         return all(
-            {name for name in one.membership.known if one.stand(name) == Stand.SURE} == names - {one.name}
-            for one in self.there()
+            {name for name in member.membership.known if member.status(name) == MemberStatus.SURE}
+            == names - {member.name}
+            for member in self.alive_members()
         )
--- a/fakes/simulated_migration.py
+++ b/fakes/simulated_migration.py
@@ -11,7 +11,7 @@
 from math import exp
 from typing import Any
 
-from fakes.simulated_fleet import Eyes, Net, Process, World
+from fakes.simulated_fleet import DelayedView, Net, Process, World
 from thymeyoke.membership.view import Load, State
 from thymeyoke.migration.controller import Level, Mover, Terms
 from thymeyoke.migration.controller import State as Move
@@ -25,12 +25,18 @@
     """One life of one node."""
 
     def __init__(
-        self, moving: Moving, name: str, life: int, terms: Terms, holds: frozenset[str], served: float = 0.0
+        self,
+        moving: Moving,
+        name: str,
+        incarnation: int,
+        terms: Terms,
+        holds: frozenset[str],
+        served: float = 0.0,
     ) -> None:
-        super().__init__(moving.world, name, True, life, served)
+        super().__init__(moving.world, name, True, incarnation, served)
         self.moving, self.room = moving, moving.table
         self.mover = Mover(self.world.now, name, terms, moving.can, holds)
-        self.eyes = Eyes(self.world, moving.net, self, STEP)
+        self.delayed_view = DelayedView(self.world, moving.net, self, STEP)
         self.held: dict[str, float] = dict.fromkeys(sorted(holds), 0.0)
         self.opened: dict[str, float] = {}
         self.still = False  # its snapshot stands still
@@ -51,16 +57,16 @@
             "holds": tuple(sorted(self.mover.holds)), "parts": {"moves": self.mover.part(self.world.now)},
         }  # fmt: skip
 
-    def tell(self) -> None:
+    def publish(self) -> None:
         if not self.still:
-            super().tell()
+            super().publish()
 
     def step(self) -> None:
         """Look, decide, say."""
         now = self.world.now
-        self.mover.saw(now, self.eyes.look(self.moving.carriers.values()))
+        self.mover.saw(now, self.delayed_view.current_view(self.moving.carriers.values()))
         if self.mover.settle(now):
-            self.tell()
+            self.publish()
 
     def under_way(self) -> list[tuple[str, str]]:
         """Own moves that have begun and are not over: tenant and target."""
@@ -107,13 +113,13 @@
         for name, rate in self.rates.items():  # as after a long time
             self.static[name] = self.carriers[homes[name]].held[name] = rate * LIFE
         for one in self.carriers.values():
-            one.tell()
+            one.publish()
 
     def start(self, name: str, served: float = 0.0) -> None:
-        life = self.carriers[name].life + 1 if name in self.carriers else 1
-        self.carriers[name] = Carrier(self, name, life, self.terms, self.files[name], served)
-        self.carriers[name].tell()
-        self.world.note(f"{name} starts, life {life}")
+        incarnation = self.carriers[name].incarnation + 1 if name in self.carriers else 1
+        self.carriers[name] = Carrier(self, name, incarnation, self.terms, self.files[name], served)
+        self.carriers[name].publish()
+        self.world.note(f"{name} starts, life {incarnation}")
 
     def kill(self, name: str) -> None:
         one = self.carriers[name]
@@ -128,7 +134,7 @@
             self._flow()
             for one in self.carriers.values():
                 if one.alive:
-                    one.tell()
+                    one.publish()
             for one in self.carriers.values():
                 if one.alive:
                     one.step()
--- a/fakes/simulated_slow_start.py
+++ b/fakes/simulated_slow_start.py
@@ -1,8 +1,9 @@
-"""Cold starts in simulated time: hundreds of processes, one list, one database, no socket, no processor time.
+"""Slow start in simulated time: hundreds of processes, one registry, one dependency, without sockets.
 
-A `Process` carries out what `coldstart.decide.ColdStart` says, as `net/roster.py` and `net/database.py` do. A
-`Fixed` one is the program before it: a report each 0.9 s from its start on, every call at once. Both can be
-held (SIGSTOP) and let go; what was to happen meanwhile happens at the moment they go on. Spans are seconds.
+A `Process` carries out the decisions of `StartupController` in the same way as `EndpointRegistryClient` and
+`DependencyClient`. A `BaselineProcess` has no slow start: it reports every 0.9 s from its start and makes
+every call at once. Both can be stopped and resumed, as with SIGSTOP and SIGCONT; events due meanwhile happen
+when they resume. Times are in seconds.
 """
 
 from __future__ import annotations
@@ -21,48 +22,50 @@
 from thymeyoke.slow_start.heartbeat import ENTRY_TTL_SECONDS, INTERVAL_SECONDS, REPORT_TIMEOUT_SECONDS
 from thymeyoke.slow_start.rate_limiter import TICK_SECONDS, RateLimits
 
-WINDOW = 0.1  # over which a peak is counted
-STARTS = 0.5  # processor time of a start
-TIMEOUT = 4.0  # of an op
-IDLE = 2.0  # that a connection to the database lives unused
-TRIES, BACKOFF = 4, 0.1  # of one call, as `choice.py` has them
-PATIENT = 2.0  # that an op which comes to a process that is held waits for it
+WINDOW_SECONDS = 0.1  # over which peaks are counted
+START_CPU_SECONDS = 0.5  # CPU time of a process start
+CLIENT_TIMEOUT = 4.0  # seconds
+IDLE_SECONDS = 2.0  # lifetime of an unused connection to the dependency
+MAX_ATTEMPTS, FIRST_BACKOFF_SECONDS = 4, 0.1  # of one call, as in admission control
+QUEUED_SECONDS = 2.0  # how long requests wait in the sockets of a stopped process
 
 
 class Fault(Enum):
-    """What comes of a report that is not taken."""
+    """How a report fails."""
 
     REFUSED = auto()
     SILENT = auto()
-    TURNED = auto()  # another answer than 204
+    ERROR_STATUS = auto()  # a status other than 204
 
 
-class Peaks:
-    """How many came in each window."""
+class LoadWindows:
+    """The number of arrivals in each window."""
 
     def __init__(self, world: World) -> None:
         self.world, self.windows = world, Counter[int]()
 
     def add(self) -> None:
-        self.windows[int(self.world.now / WINDOW)] += 1
-
-    def peak(self, since: float, until: float, wide: int = 1) -> float:
-        """The most in a second, counted over `wide` windows."""
-        first, last = int(since / WINDOW), int(until / WINDOW)
-        windows = [self.windows[at] for at in range(first, max(first + 1, last) + wide)]
-        return max(sum(windows[at : at + wide]) for at in range(len(windows) - wide)) / (WINDOW * wide)
+        self.windows[int(self.world.now / WINDOW_SECONDS)] += 1
+
+    def peak(self, since: float, until: float, window_count: int = 1) -> float:
+        """The highest rate per second over `window_count` consecutive windows."""
+        first, last = int(since / WINDOW_SECONDS), int(until / WINDOW_SECONDS)
+        windows = [self.windows[at] for at in range(first, max(first + 1, last) + window_count)]
+        return max(sum(windows[at : at + window_count]) for at in range(len(windows) - window_count)) / (
+            WINDOW_SECONDS * window_count
+        )
 
 
-class List:
-    """Takes reports one after the other. `mode`: what it does to one instead; None: it takes them."""
+class Registry:
+    """An endpoint registry that handles reports one after the other; `mode` is its current fault, if any."""
 
     def __init__(self, world: World, rate: float) -> None:
         self.world, self.rate, self.free_at = world, rate, 0.0
         self.mode: Fault | None = None
-        self.came = Peaks(world)
+        self.load = LoadWindows(world)
 
     def report(self, answer: Callable[[Fault | None], None]) -> None:
-        self.came.add()
+        self.load.add()
         if self.mode is Fault.SILENT:
             return
         if self.mode is not None:
@@ -71,53 +74,66 @@
         self.world.at(self.free_at + 0.001, answer, None)
 
 
-class Store:
-    """A database. In each window it answers `strength` times its usual calls, the rest with FULL, and falls
-    over at `falls` times."""
+class Dependency:
+    """A dependency. In each window it answers `capacity_factor` times its usual number of calls, rejects the
+    rest, and fails for 3 s at `fall_factor` times that number."""
 
-    def __init__(self, world: World, usual: float, falls: float) -> None:
-        self.world, self.usual, self.falls, self.strength = world, usual, falls, 1.5
-        self.came, self.away_until, self.fell = Peaks(world), -inf, 0
+    def __init__(self, world: World, usual_rate: float, fall_factor: float) -> None:
+        self.world, self.usual_rate, self.fall_factor, self.capacity_factor = (
+            world,
+            usual_rate,
+            fall_factor,
+            1.5,
+        )
+        self.load, self.down_until, self.fall_count = LoadWindows(world), -inf, 0
 
-    def call(self, over: Callable[[Outcome], None]) -> None:
-        self.came.add()
+    def call(self, call_ended: Callable[[Outcome], None]) -> None:
+        self.load.add()
         world, rng = self.world, self.world.rng
-        many = self.came.windows[int(world.now / WINDOW)] / (self.usual * WINDOW)
-        if world.now < self.away_until:
-            return world.after(0.001, over, Outcome.UNREACHABLE)
-        if many >= self.falls:
-            self.fell += 1
-            self.away_until = world.now + 3.0
-            return world.after(0.001, over, Outcome.CONNECTION_LOST)
-        if many > self.strength:
-            return world.after(0.002, over, Outcome.REJECTED)
-        world.after(rng.uniform(0.005, 0.02), over, Outcome.OK)
+        count = self.load.windows[int(world.now / WINDOW_SECONDS)] / (self.usual_rate * WINDOW_SECONDS)
+        if world.now < self.down_until:
+            return world.after(0.001, call_ended, Outcome.UNREACHABLE)
+        if count >= self.fall_factor:
+            self.fall_count += 1
+            self.down_until = world.now + 3.0
+            return world.after(0.001, call_ended, Outcome.CONNECTION_LOST)
+        if count > self.capacity_factor:
+            return world.after(0.002, call_ended, Outcome.REJECTED)
+        world.after(rng.uniform(0.005, 0.02), call_ended, Outcome.OK)
 
 
-class Op:
-    __slots__ = ("id", "tries", "until")
+class Request:
+    __slots__ = ("attempts", "id", "until")
 
     def __init__(self, id: str, until: float) -> None:
-        self.id, self.until, self.tries = id, until, 0
+        self.id, self.until, self.attempts = id, until, 0
 
 
-class Fixed:
-    """One process as it was: no decision about its start."""
+class BaselineProcess:
+    """A process without slow start, as a baseline."""
 
-    def __init__(self, world: World, name: str, roster: List, store: Store, rate: float) -> None:
-        self.world, self.name, self.roster, self.store, self.rate = world, name, roster, store, rate
-        self.alive, self.held_until, self.numbers = True, -inf, 0
-        self.heard = -inf  # when the last report went out that was answered
+    def __init__(
+        self, world: World, name: str, registry: Registry, dependency: Dependency, rate: float
+    ) -> None:
+        self.world, self.name, self.registry, self.dependency, self.rate = (
+            world,
+            name,
+            registry,
+            dependency,
+            rate,
+        )
+        self.alive, self.held_until, self.request_number = True, -inf, 0
+        self.last_acknowledged = -inf  # when the last acknowledged report was sent
         self.first_listed = inf
         self.report_number = 0
-        self.free: list[float] = []  # idle connections, by when they were used last
+        self.idle_connections: list[float] = []  # the times at which idle connections were last used
         self.counts: Counter[str] = Counter()
 
-    def begin(self, lived: float) -> None:
+    def begin(self, uptime: float) -> None:
         self._report()
-        self.at(self.world.now + self.world.rng.expovariate(self.rate), self._come)
+        self.at(self.world.now + self.world.rng.expovariate(self.rate), self._request_arrived)
 
-    # Time, as the process has it.
+    # Time of the process, which stands still while it is stopped.
 
     def at(self, moment: float, do: Callable[..., Any], *args: Any) -> None:
         self.world.at(moment, self._do, do, args)
@@ -136,7 +152,7 @@
         self.alive = False
 
     def listed(self, now: float) -> bool:
-        return self.alive and now < self.heard + ENTRY_TTL_SECONDS
+        return self.alive and now < self.last_acknowledged + ENTRY_TTL_SECONDS
 
     # Reports.
 
@@ -147,210 +163,233 @@
         self.at(now + INTERVAL_SECONDS, self._report)
 
     def _send_report(self, until: float) -> None:
-        number, out = self.report_number, self.world.now
-        self.roster.report(lambda fault: self.at(self.world.now, self._answer, number, out, until, fault))
-        self.at(until, self._answer, number, out, until, Fault.SILENT)
+        number, sent_at = self.report_number, self.world.now
+        self.registry.report(
+            lambda fault: self.at(self.world.now, self._answer, number, sent_at, until, fault)
+        )
+        self.at(until, self._answer, number, sent_at, until, Fault.SILENT)
 
-    def _answer(self, number: int, out: float, until: float, fault: Fault | None) -> None:
-        if number != self.report_number or out == self.heard:
+    def _answer(self, number: int, sent_at: float, until: float, fault: Fault | None) -> None:
+        if number != self.report_number or sent_at == self.last_acknowledged:
             return
         if fault is None:
-            self.heard = out
+            self.last_acknowledged = sent_at
             self.first_listed = min(self.first_listed, self.world.now)
 
-    # Ops, and their calls.
+    # Requests and their calls.
 
-    def _come(self) -> None:
-        """An op, where it still has its time: what came while the process was held comes now, as the sockets
-        kept it."""
-        self.numbers += 1
+    def _request_arrived(self) -> None:
+        """Handle a request; those that arrived while the process was stopped are handled when it resumes."""
+        self.request_number += 1
         now = self.world.now
-        self.ask(Op(f"{self.name} {self.numbers}", now + TIMEOUT))
-        self.at(now + self.world.rng.expovariate(self.rate), self._come)
-
-    def backlog(self) -> None:
-        """Let go: ops that wait in its sockets."""
-        for _ in range(int(self.rate * PATIENT)):
-            self.numbers += 1
-            self.ask(Op(f"{self.name} {self.numbers}", self.world.now + TIMEOUT - PATIENT / 2))
-
-    def ask(self, op: Op) -> None:
-        self.send(op)
-
-    def connects(self) -> bool:
+        self.request_call(Request(f"{self.name} {self.request_number}", now + CLIENT_TIMEOUT))
+        self.at(now + self.world.rng.expovariate(self.rate), self._request_arrived)
+
+    def handle_queued_requests(self) -> None:
+        """Handle the requests that waited in the sockets while the process was stopped."""
+        for _ in range(int(self.rate * QUEUED_SECONDS)):
+            self.request_number += 1
+            self.request_call(
+                Request(
+                    f"{self.name} {self.request_number}", self.world.now + CLIENT_TIMEOUT - QUEUED_SECONDS / 2
+                )
+            )
+
+    def request_call(self, request: Request) -> None:
+        self.send_call(request)
+
+    def takes_new_connection(self) -> bool:
         """Whether a call needs a new connection."""
         now = self.world.now
-        while self.free:
-            if self.free.pop() > now - IDLE:
+        while self.idle_connections:
+            if self.idle_connections.pop() > now - IDLE_SECONDS:
                 return False
         return True
 
-    def send(self, op: Op) -> None:
-        out = self.world.now
-        self.connects()
-        self.store.call(lambda outcome: self.at(self.world.now, self.over, op, out, outcome))
+    def send_call(self, request: Request) -> None:
+        sent_at = self.world.now
+        self.takes_new_connection()
+        self.dependency.call(
+            lambda outcome: self.at(self.world.now, self.call_ended, request, sent_at, outcome)
+        )
 
-    def over(self, op: Op, out: float, outcome: Outcome) -> None:
+    def call_ended(self, request: Request, sent_at: float, outcome: Outcome) -> None:
         now = self.world.now
         if outcome is Outcome.OK:
-            self.counts["acked" if now <= op.until else "late"] += 1
-            self.free.append(now)
+            self.counts["acked" if now <= request.until else "late"] += 1
+            self.idle_connections.append(now)
             return
-        op.tries += 1
-        wait = BACKOFF * 2 ** (op.tries - 1) * self.world.rng.uniform(0.5, 1)
-        if op.tries < TRIES and now + wait < op.until:
-            self.at(now + wait, self.ask, op)
+        request.attempts += 1
+        wait = FIRST_BACKOFF_SECONDS * 2 ** (request.attempts - 1) * self.world.rng.uniform(0.5, 1)
+        if request.attempts < MAX_ATTEMPTS and now + wait < request.until:
+            self.at(now + wait, self.request_call, request)
         else:
             self.counts["requests_failed"] += 1
 
 
-class Process(Fixed):
-    """One process with the decisions."""
+class Process(BaselineProcess):
+    """A process with slow start."""
 
-    def __init__(self, world: World, name: str, roster: List, store: Store, rate: float) -> None:
-        super().__init__(world, name, roster, store, rate)
-        terms = RateLimits(
-            max_concurrency=64.0, sure_concurrency=rate, latency_objective=1.0, client_timeout=TIMEOUT
+    def __init__(
+        self, world: World, name: str, registry: Registry, dependency: Dependency, rate: float
+    ) -> None:
+        super().__init__(world, name, registry, dependency, rate)
+        limits = RateLimits(
+            max_concurrency=64.0,
+            guaranteed_concurrency=rate,
+            latency_objective=1.0,
+            client_timeout=CLIENT_TIMEOUT,
         )
-        self.cold = StartupController(
-            world.now, seed=world.seed, name=name, limits=terms, started_at=world.now
+        self.startup = StartupController(
+            world.now, seed=world.seed, name=name, limits=limits, started_at=world.now
         )
-        self.beat = self.cold.new_heartbeat(world.now)
-        self.waits: CallBacklog[Op] = CallBacklog()
-        self.ends: list[tuple[float, int, Op]] = []
-        self.out = False  # a report is
-        self.look_at = world.now + TICK_SECONDS
-        self.let_at = inf
-
-    def begin(self, lived: float) -> None:
-        """It has lived for so long, and worked for `STARTS` of it."""
+        self.heartbeat = self.startup.new_heartbeat(world.now)
+        self.call_backlog: CallBacklog[Request] = CallBacklog()
+        self.deadlines: list[tuple[float, int, Request]] = []
+        self.is_reporting = False
+        self.next_tick_at = world.now + TICK_SECONDS
+        self.next_start_at = inf
+
+    def begin(self, uptime: float) -> None:
+        """Begin; the process has been running for `uptime` seconds, START_CPU_SECONDS of them on a core."""
         now = self.world.now
-        self.cold.started_at = now - lived
-        self.cold.begin(now, STARTS)
-        self._look_report()
-        self.at(now + self.world.rng.expovariate(self.rate), self._come)
-        self.at(self.look_at, self._look)
+        self.startup.started_at = now - uptime
+        self.startup.begin(now, START_CPU_SECONDS)
+        self._check_report()
+        self.at(now + self.world.rng.expovariate(self.rate), self._request_arrived)
+        self.at(self.next_tick_at, self._tick)
 
-    # Reports, as `net/roster.py` has them.
+    # Reports, as sent by `EndpointRegistryClient`.
 
-    def _look_report(self) -> None:
+    def _check_report(self) -> None:
         now = self.world.now
-        if self.out:
+        if self.is_reporting:
             return
-        if self.cold.should_report(now):
+        if self.startup.should_report(now):
             self.report_number += 1
-            self.out = True
-            self._send_report(self.cold.report_sent(now))
+            self.is_reporting = True
+            self._send_report(self.startup.report_sent(now))
         else:
-            self.at(max(now, self.beat.wake_at), self._look_report)
+            self.at(max(now, self.heartbeat.next_check_at), self._check_report)
 
-    def _answer(self, number: int, out: float, until: float, fault: Fault | None) -> None:
-        if number != self.report_number or not self.out:
+    def _answer(self, number: int, sent_at: float, until: float, fault: Fault | None) -> None:
+        if number != self.report_number or not self.is_reporting:
             return
-        now, self.out = self.world.now, False
+        now, self.is_reporting = self.world.now, False
         if fault is None:
-            self.heard = out
+            self.last_acknowledged = sent_at
             self.first_listed = min(self.first_listed, now)
-            self.cold.report_accepted(now)
+            self.startup.report_accepted(now)
         else:
-            self.cold.report_failed(now)
-        self._look_report()
-
-    # Calls, as `net/database.py` has them.
-
-    def ask(self, op: Op) -> None:
-        now, pace = self.world.now, self.cold.rate_limiter
-        repeat = op.id in self.cold.failed_calls
-        pace.first_attempts += not repeat
-        if not self.waits and pace.is_open and self.cold.may_call(now, op.id):
-            return self.send(op)
-        if not self.waits.add(now, op.id, op, repeat, op.until):
+            self.startup.report_failed(now)
+        self._check_report()
+
+    # Calls, as made by `DependencyClient`.
+
+    def request_call(self, request: Request) -> None:
+        now, rate_limiter = self.world.now, self.startup.rate_limiter
+        is_retry = request.id in self.startup.failed_calls
+        rate_limiter.first_attempts += not is_retry
+        if not self.call_backlog and rate_limiter.is_open and self.startup.may_call(now, request.id):
+            return self.send_call(request)
+        if not self.call_backlog.add(now, request.id, request, is_retry, request.until):
             self.counts["turned_away"] += 1
             return
-        pace.has_token(now)
-        heappush(self.ends, (op.until, next(self.world.numbers), op))
-        self._let_out()
-
-    def _let_out(self) -> None:
-        now, pace = self.world.now, self.cold.rate_limiter
-        while self.waits and pace.has_token(now):
-            op = self.waits.take_next(now, self.cold.budget, pace.min_time_left)
-            self.counts["without_leave"] += len(self.waits.expired)
-            self.waits.expired.clear()
-            if op is None:
+        rate_limiter.has_token(now)
+        heappush(self.deadlines, (request.until, next(self.world.numbers), request))
+        self._start_waiting()
+
+    def _start_waiting(self) -> None:
+        now, rate_limiter = self.world.now, self.startup.rate_limiter
+        while self.call_backlog and rate_limiter.has_token(now):
+            request = self.call_backlog.take_next(now, self.startup.budget, rate_limiter.min_time_left)
+            self.counts["without_leave"] += len(self.call_backlog.expired)
+            self.call_backlog.expired.clear()
+            if request is None:
                 break
-            self.send(op)
-        if self.waits:
-            moment = max(pace.next_token_at(now), self.waits.next_at(now, self.cold.budget), now + 0.001)
-            if moment < self.let_at or self.let_at <= now:
-                self.let_at = moment
-                self.at(moment, self._let_out)
-
-    def connects(self) -> bool:
-        found = super().connects()
-        self.cold.rate_limiter.spend(found)
+            self.send_call(request)
+        if self.call_backlog:
+            moment = max(
+                rate_limiter.next_token_at(now),
+                self.call_backlog.next_at(now, self.startup.budget),
+                now + 0.001,
+            )
+            if moment < self.next_start_at or self.next_start_at <= now:
+                self.next_start_at = moment
+                self.at(moment, self._start_waiting)
+
+    def takes_new_connection(self) -> bool:
+        found = super().takes_new_connection()
+        self.startup.rate_limiter.spend(found)
         return found
 
-    def over(self, op: Op, out: float, outcome: Outcome) -> None:
+    def call_ended(self, request: Request, sent_at: float, outcome: Outcome) -> None:
         now = self.world.now
-        self.cold.call_ended(now, op.id, outcome, now - out)
-        super().over(op, out, outcome)
+        self.startup.call_ended(now, request.id, outcome, now - sent_at)
+        super().call_ended(request, sent_at, outcome)
 
-    def _look(self) -> None:
+    def _tick(self) -> None:
         now = self.world.now
-        self.cold.stalled(now, now - self.look_at)
-        self.look_at = now + TICK_SECONDS
-        while self.ends and self.ends[0][0] <= now:
-            _, _, op = heappop(self.ends)
-            if self.waits.get(op.id) is op:
-                self.waits.drop(op.id)
+        self.startup.stalled(now, now - self.next_tick_at)
+        self.next_tick_at = now + TICK_SECONDS
+        while self.deadlines and self.deadlines[0][0] <= now:
+            _, _, request = heappop(self.deadlines)
+            if self.call_backlog.get(request.id) is request:
+                self.call_backlog.drop(request.id)
                 self.counts["without_leave"] += 1
-        self.cold.tick(now, self.waits.oldest_age(now))
-        self._let_out()
-        self.at(self.look_at, self._look)
+        self.startup.tick(now, self.call_backlog.oldest_age(now))
+        self._start_waiting()
+        self.at(self.next_tick_at, self._tick)
 
-    def backlog(self) -> None:
-        self.cold.stalled(self.world.now, self.world.now - self.look_at)
-        super().backlog()
+    def handle_queued_requests(self) -> None:
+        self.startup.stalled(self.world.now, self.world.now - self.next_tick_at)
+        super().handle_queued_requests()
 
 
-class Crowd:
-    """Many processes of one kind with one list and one database. The list takes 1.35 times what they report,
-    the database falls at `falls` times its usual calls."""
+class ProcessFleet:
+    """Many processes of one type with one registry and one dependency. The registry can handle 1.35 times
+    their steady rate of reports; the dependency fails at `fall_factor` times its usual calls."""
 
     def __init__(
-        self, seed: int, many: int, kind: type[Fixed], rate: float = 10.0, falls: float = 4.0
+        self,
+        seed: int,
+        count: int,
+        process_type: type[BaselineProcess],
+        rate: float = 10.0,
+        fall_factor: float = 4.0,
     ) -> None:
-        self.world, self.many, self.kind, self.rate = World(seed), many, kind, rate
-        self.roster = List(self.world, 1.35 * many / INTERVAL_SECONDS)
-        self.store = Store(self.world, many * rate, falls)
-        self.all: list[Fixed] = []
+        self.world, self.count, self.process_type, self.rate = World(seed), count, process_type, rate
+        self.registry = Registry(self.world, 1.35 * count / INTERVAL_SECONDS)
+        self.dependency = Dependency(self.world, count * rate, fall_factor)
+        self.all: list[BaselineProcess] = []
         self.counts: Counter[str] = Counter()
 
-    def start(self, many: int, lived: float) -> None:
-        """So many, all at this moment."""
-        for _ in range(many):
-            one = self.kind(self.world, f"p{len(self.all):03}", self.roster, self.store, self.rate)
-            self.all.append(one)
-            one.begin(lived)
+    def start(self, count: int, uptime: float) -> None:
+        """Start `count` processes at the same time."""
+        for _ in range(count):
+            process = self.process_type(
+                self.world, f"p{len(self.all):03}", self.registry, self.dependency, self.rate
+            )
+            self.all.append(process)
+            process.begin(uptime)
 
-    def there(self) -> list[Fixed]:
-        return [one for one in self.all if one.alive]
+    def alive_processes(self) -> list[BaselineProcess]:
+        return [process for process in self.all if process.alive]
 
     def hold(self, span: float) -> None:
-        for one in self.there():
-            one.hold(span)
+        for process in self.alive_processes():
+            process.hold(span)
         self.world.after(span, self._go_on)
 
     def _go_on(self) -> None:
-        for one in self.there():
-            one.backlog()
+        for process in self.alive_processes():
+            process.handle_queued_requests()
 
     def unlisted(self) -> int:
-        return sum(not one.listed(self.world.now) for one in self.there())
+        return sum(not process.listed(self.world.now) for process in self.alive_processes())
 
-    def until_listed(self, until: float) -> float:
-        """Run on until all are listed; how long it took, or inf."""
+    def run_until_listed(self, until: float) -> float:
+        """Run until all are listed; return the seconds that took, or inf."""
         began = self.world.now
         while self.world.now < until:
             self.world.run(self.world.now + 0.05)
@@ -359,4 +398,4 @@
         return inf
 
     def total(self, what: str) -> int:
-        return sum(one.counts[what] for one in self.all)
+        return sum(process.counts[what] for process in self.all)
--- a/tests/app_server.py
+++ b/tests/app_server.py
@@ -1,5 +1,4 @@
-"""For the tests: an `AdmissionController` with small round figures and shorthands to feed it, and an app
-server on sockets with the fakes of the toy around it."""
+"""Test helpers: an `AdmissionController` with simple settings, and an app server on sockets among fakes."""
 
 from __future__ import annotations
 
@@ -27,12 +26,12 @@
 
 READ = settings.RequestClass(2.0, 6.0, Idempotency.IDEMPOTENT, 1.0, 0.0, 0.0, True, 0.0, 0.0)
 KEYED = READ._replace(idempotency=Idempotency.WITH_KEY, idempotency_window=10.0)
-ONCE = READ._replace(idempotency=Idempotency.NOT_IDEMPOTENT, priority_weight=3.0)
-POORER = READ._replace(degraded_value_share=0.5)
-KINDS = (READ, KEYED, ONCE, POORER)
+NOT_IDEMPOTENT = READ._replace(idempotency=Idempotency.NOT_IDEMPOTENT, priority_weight=3.0)
+DEGRADABLE = READ._replace(degraded_value_share=0.5)
+REQUEST_CLASSES = (READ, KEYED, NOT_IDEMPOTENT, DEGRADABLE)
 SETTINGS = settings.AdmissionSettings(
     seed=7,
-    request_classes=KINDS,
+    request_classes=REQUEST_CLASSES,
     machine=settings.Machine(4, 4000.0, 4.0, 5.0, 0.002, settings.StopEffect.NONE, ("busy",)),
     overload=settings.OverloadLimits(8.0, 2.0, False, 0.25, 20.0),
     terms=settings.ServiceTerms(0.06, 2.0),
@@ -52,9 +51,9 @@
             given = given._replace(**{name: section})
         self.now = 100.0
         self.controller = AdmissionController(self.now, given)
-        self.did: list[Any] = []
+        self.last_actions: list[Any] = []
 
-    def op(self, id: int, class_index: int = 0, client: int = 0, **more: Any) -> None:
+    def submit(self, id: int, class_index: int = 0, client: int = 0, **more: Any) -> None:
         given: dict[str, Any] = {
             "size": 10.0,
             "subject": None,
@@ -70,69 +69,71 @@
         request = events.Request(id=id, class_index=class_index, client=client, **(given | more))
         self.controller.submit(self.now, request)
 
-    def settle(self, later: float = 0.0) -> list[Any]:
-        self.now += later
-        self.did = self.controller.next_actions(self.now)
-        return self.did
+    def take_actions(self, advance: float = 0.0) -> list[Any]:
+        self.now += advance
+        self.last_actions = self.controller.next_actions(self.now)
+        return self.last_actions
 
-    def beat(self, later: float = 0.06, busy: float = 1.0) -> list[Any]:
-        self.now += later
+    def expire_timer(self, advance: float = 0.06, busy: float = 1.0) -> list[Any]:
+        self.now += advance
         self.controller.timer_expired(self.now, 0, (busy, self.controller.running.total))
-        return self.settle()
+        return self.take_actions()
 
-    def end(self, *ids: int, later: float = 0.0) -> None:
-        self.now += later
+    def finish(self, *ids: int, advance: float = 0.0) -> None:
+        self.now += advance
         for id in ids:
             self.controller.run_ended(self.now, id, events.Outcome.OK)
 
-    def learned(self, took: float, class_index: int = 0) -> None:
+    def learn_run_time(self, took: float, class_index: int = 0) -> None:
         """Give a request class its history: one run of `took` seconds."""
-        self.op(-1 - class_index, class_index)
-        self.settle()
-        self.end(-1 - class_index, later=took)
-        self.settle()
+        self.submit(-1 - class_index, class_index)
+        self.take_actions()
+        self.finish(-1 - class_index, advance=took)
+        self.take_actions()
 
-    def ids(self, action: type) -> list[Any]:
-        """The ids that the last settle named with this action."""
-        return [did.id for did in self.did if type(did) is action]
+    def ids(self, type_: type) -> list[Any]:
+        """The ids in the last actions of this type."""
+        return [action.id for action in self.last_actions if type(action) is type_]
 
 
-# Seconds that a play stands of what the machine takes: what settings tell of differs by 0.05 s and more.
-TAKEN, TRIES = 0.03, 6
+# Lost time that a test tolerates; times in the settings differ by 0.05 s or more.
+MAX_LOST_SECONDS, MAX_ATTEMPTS = 0.03, 6
 
 
-class Try(AbstractContextManager["Try"]):
-    """A play of spans that the program keeps by the clock: graces, targets, waits. Where the machine took
-    turns of this process it may fail by no fault of the program's, and `tries` has the next one. `times`: by
-    how much spans that can be longer are to be so."""
+class Attempt(AbstractContextManager["Attempt"]):
+    """One attempt of a test that depends on real time, such as grace periods, targets and waits.
+
+    If the machine took processor time from this process, the test may fail without a fault in the program,
+    and `attempts` yields another attempt. `times` is the factor by which adjustable times are to be longer.
+    """
 
     def __init__(self, number: int) -> None:
-        self.times, self.last, self.held = min(8, 1 << number), number + 1 == TRIES, False
+        self.times, self.last, self.held = min(8, 1 << number), number + 1 == MAX_ATTEMPTS, False
 
-    def __enter__(self) -> Try:
+    def __enter__(self) -> Attempt:
         self.spent = Spent()
         return self
 
     def __exit__(self, kind: Any, error: BaseException | None, trace: Any) -> bool:
         self.held = error is None
         taken = self.spent.taken()
-        if self.last or taken < TAKEN or not isinstance(error, Exception | BaseExceptionGroup):
+        if self.last or taken < MAX_LOST_SECONDS or not isinstance(error, Exception | BaseExceptionGroup):
             return False
-        print(f"played again, the machine took {taken:.2f} s: {error!r}"[:200], file=sys.stderr, flush=True)
+        print(f"retrying, {taken:.2f} s of processor time lost: {error!r}"[:200], file=sys.stderr, flush=True)
         return True
 
 
-def tries() -> Iterator[Try]:
-    """Until one holds; the one that fails undisturbed, or comes last, fails as it is."""
-    for number in range(TRIES):
-        yield (one := Try(number))
+def attempts() -> Iterator[Attempt]:
+    """Yield attempts until one passes; an undisturbed or the last one raises its error."""
+    for number in range(MAX_ATTEMPTS):
+        yield (one := Attempt(number))
         if one.held:
             return
 
 
 @contextmanager
-def noted(*_: Any, **pairs: Any) -> Iterator[None]:
-    """In place of `subTest`, which would report what is played again."""
+def note_on_error(*_: Any, **pairs: Any) -> Iterator[None]:
+    """Replaces `subTest`, which would report failures of attempts that are retried."""
     try:
         yield
     except BaseException as error:
@@ -140,38 +141,38 @@
         raise
 
 
-def steady(cases: type) -> type:
-    """Each test of the class within `tries`; `times` is there for it."""
+def retried(cases: type) -> type:
+    """Decorate a test class: run each of its tests in `attempts`, and set `times` for it."""
 
-    def within(test: Any) -> Any:
-        def begun(self: Any, one: Try) -> Try:
-            self.times, self.subTest = one.times, noted
+    def retry_test(test: Any) -> Any:
+        def begin_attempt(self: Any, one: Attempt) -> Attempt:
+            self.times, self.subTest = one.times, note_on_error
             if one.times > 1:
                 self.setUp()
             return one
 
         @functools.wraps(test)
-        def plain(self: Any) -> None:
-            for one in tries():
-                with begun(self, one):
+        def retry_sync(self: Any) -> None:
+            for one in attempts():
+                with begin_attempt(self, one):
                     test(self)
 
         @functools.wraps(test)
-        async def waits(self: Any) -> None:
-            for one in tries():
-                with begun(self, one):
+        async def retry_async(self: Any) -> None:
+            for one in attempts():
+                with begin_attempt(self, one):
                     await test(self)
 
-        return waits if inspect.iscoroutinefunction(test) else plain
+        return retry_async if inspect.iscoroutinefunction(test) else retry_sync
 
     for name, test in list(vars(cases).items()):
         if name.startswith("test_"):
-            setattr(cases, name, within(test))
+            setattr(cases, name, retry_test(test))
     return cases
 
 
 async def until(true: Callable[[], Any], within: float = 60.0) -> Any:
-    """What comes, comes within it on however busy a machine."""
+    """Wait until `true()` holds, and return its value; fails after `within` seconds."""
     with anyio.fail_after(within):
         while not (found := true()):
             await anyio.sleep(0.01)
@@ -182,8 +183,8 @@
 logs.logger.propagate = False
 
 
-def told(**changed: Any) -> dict[str, Any]:
-    """The toy's start file; a name with a dot's place as `__` reaches into the settings."""
+def start_file_with(**changed: Any) -> dict[str, Any]:
+    """The start file of the toy deployment with changes; `__` in a name separates nested keys."""
     given = orjson.loads(START.read_bytes())
     for name, value in changed.items():
         *path, last = name.split("__")
@@ -194,20 +195,20 @@
     return given
 
 
-class Place:
-    """A server on sockets and what stands around it."""
+class RunningServer:
+    """A server on real sockets and its fake peers."""
 
     def __init__(self, tasks: TaskGroup, processor: Processor, database: Database, roster: Roster) -> None:
         self.tasks, self.processor, self.database, self.roster = tasks, processor, database, roster
         self.ended = anyio.Event()
-        self.desk: Any = None  # where a test wants to look inside
+        self.dispatcher: Any = None  # set by tests that inspect it
 
     async def serve(self, changed: dict[str, Any], orders: Callable[[], dict[str, Any]]) -> None:
         addresses = {"listen": 0, "processor": self.processor.port, "db": self.database.port,
                      "naming": self.roster.port}  # fmt: skip
-        given = told(**{name: f"127.0.0.1:{port}" for name, port in addresses.items()} | changed)
+        given = start_file_with(**{name: f"127.0.0.1:{port}" for name, port in addresses.items()} | changed)
 
-        def again() -> start_file.ServerSettings:
+        def reload_settings() -> start_file.ServerSettings:
             if isinstance(self.start, start_file.StartFileError):
                 raise self.start
             return start_file.read_server_settings(self.start)
@@ -219,14 +220,14 @@
                     start_file.read_request_names(given["settings"]),
                     start_file.read_admission_settings(7, given["settings"]),
                 ),
-                again,
+                reload_settings,
                 orders,
                 task_status=task_status,
             )
             self.ended.set()
 
         self.start: dict[str, Any] | start_file.StartFileError = (
-            given  # what the start file says when it is read again
+            given  # the content of the start file at the next reload
         )
         self.where = await self.tasks.start(run)
 
@@ -235,13 +236,13 @@
 
 
 @asynccontextmanager
-async def place(
+async def running_server(
     processor: Processor | None = None, database: Database | None = None, roster: Roster | None = None,
     orders: Callable[[], dict[str, Any]] = dict, **changed: Any,
-) -> AsyncIterator[Place]:  # fmt: skip
-    """A server on free ports, up if its processor is; all of it is taken down at the end."""
+) -> AsyncIterator[RunningServer]:  # fmt: skip
+    """Run a server on free ports until the end of the block; it is ready if its processor is."""
     async with anyio.create_task_group() as tasks:
-        here = Place(tasks, processor or Processor(), database or Database(), roster or Roster())
+        here = RunningServer(tasks, processor or Processor(), database or Database(), roster or Roster())
         for around in (here.processor, here.database, here.roster):
             await tasks.start(around.run)
         await here.serve(changed, orders)
@@ -252,23 +253,23 @@
         tasks.cancel_scope.cancel()
 
 
-def pieces(data: bytes) -> list[list[bytes]]:
-    """The data cut in two at every byte, and byte by byte."""
+def every_split(data: bytes) -> list[list[bytes]]:
+    """The data split in two at each position, and split into single bytes."""
     cuts = [[data[:at], data[at:]] for at in range(len(data))]
     return [*cuts, [data[at : at + 1] for at in range(len(data))]]
 
 
 __all__ = [
-    "KINDS",
-    "TAKEN",
-    "Place",
+    "MAX_LOST_SECONDS",
+    "REQUEST_CLASSES",
+    "RunningServer",
     "Server",
     "actions",
-    "pieces",
-    "place",
+    "attempts",
+    "every_split",
+    "retried",
+    "running_server",
     "settings",
-    "steady",
-    "told",
-    "tries",
+    "start_file_with",
     "until",
 ]  # fmt: skip
--- a/tests/characterization/test_codecs.py
+++ b/tests/characterization/test_codecs.py
@@ -426,12 +426,12 @@
     def test_membership_frames(self) -> None:
         draw = random.Random(5)
         found = []
-        for key in (b"", membership_wire.key("a word")):
-            badge = membership_wire.Badge("fleet", key, "n1", "127.0.0.1:6001")
+        for key in (b"", membership_wire.derive_key("a word")):
+            badge = membership_wire.Credentials("fleet", key, "n1", "127.0.0.1:6001")
             for size in (0, 10, 2048, 2049, 9000):
                 body = draw.randbytes(size)
-                data = membership_wire.notifications("members", body, badge)
-                reader = membership_wire.Reader(badge, membership_wire.Pool())
+                data = membership_wire.encode_notifications("members", body, badge)
+                reader = membership_wire.MessageReader(badge, membership_wire.BufferPool())
                 found.append([size, data.hex()[:6000], attempt(lambda r=reader, d=data: r.feed(d))])
         compare(self, "codecs/membership_frames", lines(found))
 
--- a/tests/characterization/test_decisions.py
+++ b/tests/characterization/test_decisions.py
@@ -10,7 +10,7 @@
 from tests.characterization.recording import Recorder, compare
 from thymeyoke.affinity import controller as affinity
 from thymeyoke.membership import controller as membership
-from thymeyoke.membership.gossip import Noted
+from thymeyoke.membership.gossip import LogEvent
 from thymeyoke.migration import controller as migration
 from thymeyoke.slow_start.backoff import CallBacklog
 from thymeyoke.slow_start.controller import StartupController
@@ -46,27 +46,27 @@
     RetryBudget: {"record_success": "won", "can_retry": "has", "take": "take", "next_retry_at": "when"},
 }
 MEMBERSHIP = {
-    "say": "announce",
+    "announce": "announce",
     "leave": "leave",
-    "heard": "message",
-    "change": "change",
-    "refused": "refused",
-    "begin": "begin",
-    "settle": "actions",
-    "next": "next",
+    "receive": "message",
+    "reconfigure": "change",
+    "connect_refused": "refused",
+    "start": "begin",
+    "advance": "actions",
+    "next_advance_at": "next",
     "view": "view",
 }
 AFFINITY = {
-    "seat": "assign",
-    "opened": "opened",
-    "closed": "closed",
-    "failed": "failed",
-    "saw": "view",
-    "woke": "woke",
-    "heard": "message",
+    "assign": "assign",
+    "connection_opened": "opened",
+    "connection_closed": "closed",
+    "connect_failed": "failed",
+    "observe": "view",
+    "resumed": "woke",
+    "receive": "message",
     "leave": "leave",
-    "settle": "actions",
-    "next": "next",
+    "advance": "actions",
+    "next_advance_at": "next",
 }
 MIGRATION = {
     "change": "change",
@@ -79,11 +79,11 @@
 CODES: dict[type, str | None] = {
     membership.Probe: "probe",
     membership.Relay: "relay",
-    Noted: None,
-    affinity.Tell: "send",
-    affinity.Ready: "ready",
-    affinity.Handed: "handover",
-    affinity.Note: None,
+    LogEvent: None,
+    affinity.SendMessage: "send",
+    affinity.Joined: "ready",
+    affinity.HandedOver: "handover",
+    affinity.LogEvent: None,
     migration.Full: "preferred",
     migration.Less: "depreferred",
     migration.Withdrawn: "withdrawn",
@@ -120,7 +120,7 @@
                 self.recorded(
                     f"affinity/{play}",
                     lambda play=play: seats(play, SMALL, coded=True),
-                    (affinity.Seats, AFFINITY),
+                    (affinity.AffinityTable, AFFINITY),
                 )
 
     def test_migration(self) -> None:
--- a/tests/conformance/tables.py
+++ b/tests/conformance/tables.py
@@ -1,4 +1,4 @@
-"""The tables of the pages, for the tests that play them: no row without a case, no case without a row."""
+"""Reads tables from Markdown pages, for tests with one case for each row."""
 
 from __future__ import annotations
 
@@ -8,23 +8,25 @@
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parents[2]
-NAMES = ("state", "event", "next state", "id")  # columns of names as in the code: without their backticks
-DASH = ("-", "\u2013", "\u2014")  # of a next state: it stays
+NAMES = ("state", "event", "next state", "id")  # columns whose cells are read without backticks
+DASH = ("-", "\u2013", "\u2014")  # in the column of the next state: the state does not change
 
 Row = dict[str, str]
 Case = Callable[[unittest.TestCase, Row], None]
 
 
 def cells(line: str) -> list[str]:
-    """The cells of a line of a table; a bar that is part of a text is written `\\|`."""
+    """Split a table line into cells; a bar within a cell is escaped as `\\|`."""
     parts = re.split(r"(?<!\\)\|", line.strip())
     return [part.strip().replace("\\|", "|") for part in parts[1:-1]]
 
 
 def rows(page: str, section: str) -> list[Row]:
-    """The first table under `## section` of a page, each row by the titles of its columns. The page is named
-    from the repository's root: "docs/design.md". LookupError where page, section or table is missing, or a
-    row has more or fewer cells than there are columns."""
+    """The rows of the first table under `## section` of a page, as dictionaries by column title.
+
+    `page` is relative to the repository's root, as in "docs/design.md". Raises LookupError if the page, the
+    section or the table is missing, or if a row has more or fewer cells than there are columns.
+    """
     path = ROOT / page
     if not path.is_file():
         raise LookupError(f"{page}: there is no such page")
@@ -51,19 +53,21 @@
 
 
 def named(row: Row, key: str | tuple[str, ...]) -> Hashable:
-    """What a row is known by: one column, or several as a tuple."""
+    """The key of a row: the value of one column, or of several as a tuple."""
     return row[key] if isinstance(key, str) else tuple(row[name] for name in key)
 
 
 def played(
     case: unittest.TestCase, rows: Sequence[Row], key: str | tuple[str, ...], cases: Mapping[Hashable, Case]
 ) -> None:
-    """Play every row, each in a subTest: `cases[name](case, row)`. The name is the row's `key`: "id", or for
-    ("state", "event") a tuple of both. Fails for a row without a case, a case without a row and a name
-    that stands twice."""
+    """Run the test case of every row, each in a subTest: `cases[name](case, row)`.
+
+    The name is the value of the row's `key` column, or a tuple if `key` has several columns. Fails for rows
+    without a case, cases without a row and duplicate rows.
+    """
     names = [named(row, key) for row in rows]
     twice = sorted({str(name) for name in names if names.count(name) > 1})
-    case.assertFalse(twice, "rows that stand twice")
+    case.assertFalse(twice, "duplicate rows")
     case.assertFalse(sorted(str(name) for name in names if name not in cases), "rows without a case")
     case.assertFalse(sorted(str(name) for name in cases if name not in names), "cases without a row")
     for name, row in zip(names, rows, strict=True):
--- a/tests/conformance/test_pages.py
+++ b/tests/conformance/test_pages.py
@@ -1,5 +1,4 @@
-"""The tables of the fleet's pages are whole: every state with every event, every rule once, and each page is
-played by a test file of its own."""
+"""Tables in docs/ are complete: each state with each event, no duplicate rules, a test file per page."""
 
 from __future__ import annotations
 
@@ -17,7 +16,7 @@
 
 
 def wrong(states: list[Row]) -> list[str]:
-    """What a table of states lacks, has twice, or leads to that it does not have."""
+    """Missing and duplicate pairs of state and event in a table, and next states that it does not define."""
     pairs = Counter((row["state"], row["event"]) for row in states)
     known, events = ({row[name] for row in states} for name in ("state", "event"))
     all_pairs = itertools.product(known, events)
@@ -44,7 +43,7 @@
 
 
 class Tables(unittest.TestCase):
-    """The reader of tables itself."""
+    """Tests the functions of `tests.conformance.tables`."""
 
     PAGE = "# P\n\n## States\n\nWords.\n\n| state | event | next state | what |\n| --- | --- | --- | --- |\n"
 
