--- a/tests/fault_injection/defences.py
+++ b/tests/fault_injection/defences.py
@@ -43,8 +43,9 @@
         SEATS + "test_one_server_through_either_node",
         one(
             "affinity/rendezvous.py",
-            "def pair(name: str) -> tuple[int, int]:\n",
-            "def pair(name: str) -> tuple[int, int]:\n    name += str(__import__('os').getpid())\n",
+            "def hash_parameters(name: str) -> tuple[int, int]:\n",
+            "def hash_parameters(name: str) -> tuple[int, int]:\n"
+            "    name += str(__import__('os').getpid())\n",
         ),
     ),
     Defence(
@@ -52,14 +53,14 @@
         SEATS + "test_an_app_server_dies_and_comes_back",
         one(
             "affinity/rendezvous.py",
-            "        return top, self.names[weights.index(top)]\n",
-            "        return top, self.names[customer % len(self.names)]\n",
+            "        return best, self.names[weights.index(best)]\n",
+            "        return best, self.names[client % len(self.names)]\n",
         ),
     ),
     Defence(
         "exceptions outlive the last connection by a linger",
         SEATS + "test_an_app_server_joins_and_takes_new_customers_alone",
-        one("affinity/controller.py", "SPAN = 2.0 ", "SPAN = 0.001 "),
+        one("affinity/controller.py", "BINDING_TTL_TIMEOUTS = 2.0 ", "BINDING_TTL_TIMEOUTS = 0.001 "),
     ),
     Defence(
         "exceptions are told to the other nodes",
@@ -71,8 +72,8 @@
         SEATS + "test_an_app_server_dies_and_comes_back",
         one(
             "affinity/controller.py",
-            "    def _keep(self, now: float, customer: int, server: str) -> None:\n",
-            "    def _keep(self, now: float, customer: int, server: str) -> None:\n        return\n",
+            "    def _bind(self, now: float, client: int, server: str) -> None:\n",
+            "    def _bind(self, now: float, client: int, server: str) -> None:\n        return\n",
         ),
     ),
     Defence(
@@ -105,14 +106,16 @@
         "an answer to a probe may come through others, or the other way",
         MEMBERS + "test_a_link_that_is_open_one_way_kills_nobody",
         (
-            Change("thymeyoke/membership/controller.py", "HELPERS = 3 ", "HELPERS = 0 "),
+            Change("thymeyoke/membership/controller.py", "INDIRECT_PROBES = 3 ", "INDIRECT_PROBES = 0 "),
             Change(
                 "thymeyoke/membership/controller.py",
-                "        if known.heard_at > probe.began:\n",
+                "        if known.received_at > probe.started_at:\n",
                 "        if False:\n",
             ),
             Change(
-                "thymeyoke/membership/failure_detector.py", "LEAST, TOP = 3.0, 9.0", "LEAST, TOP = 0.0, 0.0"
+                "thymeyoke/membership/failure_detector.py",
+                "SUSPICION_PERIODS = 3.0, 9.0",
+                "SUSPICION_PERIODS = 0.0, 0.0",
             ),
         ),
     ),
@@ -120,30 +123,36 @@
         "a process that stood still doubts itself first",
         MEMBERS + "test_a_node_that_is_stopped_and_woken_does_no_harm",
         (
-            Change("thymeyoke/membership/controller.py", "LATE = 1.0 ", "LATE = 1e9 "),
+            Change("thymeyoke/membership/controller.py", "STALL_PERIODS = 1.0 ", "STALL_PERIODS = 1e9 "),
             Change(
-                "thymeyoke/membership/failure_detector.py", "LEAST, TOP = 3.0, 9.0", "LEAST, TOP = 0.0, 0.0"
+                "thymeyoke/membership/failure_detector.py",
+                "SUSPICION_PERIODS = 3.0, 9.0",
+                "SUSPICION_PERIODS = 0.0, 0.0",
             ),
         ),
     ),
     Defence(
         "a death is found",
         MEMBERS + "test_a_death_is_found_by_all_and_nobody_else_is_dead",
-        one("membership/failure_detector.py", "LEAST, TOP = 3.0, 9.0", "LEAST, TOP = 300.0, 900.0"),
+        one(
+            "membership/failure_detector.py",
+            "SUSPICION_PERIODS = 3.0, 9.0",
+            "SUSPICION_PERIODS = 300.0, 900.0",
+        ),
     ),
     Defence(
         "a name belongs to the one that lived longer",
         MEMBERS + "test_a_process_under_anothers_name_takes_nobody",
         one(
             "membership/controller.py",
-            "        older = mine > theirs if far else self.own.address < address\n",
-            "        older = True\n",
+            "        is_older = uptime > other_uptime if differs else self.own.address < address\n",
+            "        is_older = True\n",
         ),
     ),
     Defence(
         "no two clocks are compared: lives are numbers",
         MEMBERS + "test_clocks_that_are_off_by_three_seconds",
-        one("membership/controller.py", '        self._note("incarnation_raised")\n', "        return\n"),
+        one("membership/controller.py", '        self._record("incarnation_raised")\n', "        return\n"),
     ),
     Defence(
         "a majority of all nodes must agree",
@@ -255,8 +264,8 @@
         "test_bad_input.BadInput.test_noise_takes_no_seat",
         one(
             "membership/controller.py",
-            '            return "an age that cannot be"\n        return fault(',
-            '            return "an age that cannot be"\n        return "" and fault(',
+            '            return "age is negative or infinite"\n        return find_fault(',
+            '            return "age is negative or infinite"\n        return "" and find_fault(',
         ),
     ),
     Defence(
@@ -283,9 +292,9 @@
         "test_slow_start.ColdStart.test_list_that_hangs_says_503_and_refuses",
         one(
             "slow_start/heartbeat.py",
-            "        lapse, need = self.last_answered_at + ENTRY_TTL_SECONDS,",
+            "        expires_at, answer_time = self.last_answered_at + ENTRY_TTL_SECONDS,",
             "        self.retry_at = now + 0.1\n"
-            "        lapse, need = self.last_answered_at + ENTRY_TTL_SECONDS,",
+            "        expires_at, answer_time = self.last_answered_at + ENTRY_TTL_SECONDS,",
         ),
     ),
     Defence(
--- a/tests/fault_injection/test_affinity.py
+++ b/tests/fault_injection/test_affinity.py
@@ -1,4 +1,4 @@
-"""Drills: customers keep their app server while nodes and app servers come, go and die."""
+"""Clients keep their app server while nodes and app servers join, leave and die."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from tests.fault_injection.play import Drills, fleet
 from tests.fault_injection.test_membership import DEAD
 
-LATE = 2.0  # seconds that the fleet has to see what happened, on a busy machine
+LATE = 2.0  # seconds for the fleet to detect a change on a busy machine
 SOME = range(1, 25)
 
 
 async def meet(here: Drill, node: str, number: int) -> str:
-    """Which app server a customer meets by way of a node; "" where it is nacked or left waiting."""
+    """The app server that a client reaches through a node; "" if it is rejected or gets no answer."""
     port = here[node].services["north"]
     line = await Line.come(here.tasks, source(number), here.address("north"), port)
     asked = await line.ask("look", b"op", project="north")
@@ -27,7 +27,7 @@
 
 
 async def meets(here: Drill, node: str) -> dict[int, str]:
-    """The same of some, all at once; on a busy machine again."""
+    """The same for several clients at once, with retries."""
     met: dict[int, str] = {}
 
     async def one(number: int) -> None:
@@ -42,7 +42,7 @@
 
 
 async def visits(here: Drill, span: float) -> dict[int, str]:
-    """Again and again, for so many seconds: none is unseen for a linger. What they met last."""
+    """Let clients reconnect for `span` seconds, each within the idle timeout; return the last servers."""
     begun, met = time.monotonic(), await meets(here, "node-1")
     while time.monotonic() < begun + span:
         await anyio.sleep(0.1)
@@ -63,7 +63,7 @@
             await self.ends(crowd)
 
     async def node_joins(self, here: Drill, crowd: Crowd, since: float) -> None:
-        """Nobody changes the server for it."""
+        """Start a node; no client may change its server."""
         here.start("node-3")
         await here.listening("node-3")
         crowd.nodes.append("node-3")
@@ -102,7 +102,7 @@
             self.once(crowd)
 
     async def test_a_node_that_hears_of_one_app_server_first_seats_nobody_by_it_alone(self) -> None:
-        """Words of all others wait longer than a node that joins listens for; s1's question it hears."""
+        """Messages of all others are delayed for longer than a joining node waits; those of s1 arrive."""
         async with fleet(18) as (here, crowd):
             since = time.time()
             crowd.nodes.remove("node-1")
@@ -115,7 +115,9 @@
             here.start("node-1")
             await here.listening("node-1")
             crowd.nodes.append("node-1")
-            await anyio.sleep(1.2 * MARGIN)  # half a margin from s1's word is over, the two of a join are not
+            await anyio.sleep(
+                1.2 * MARGIN
+            )  # half a margin after s1's message is over, the two margins of a join are not
             here.heal()
             await crowd.answered(4)
             self.keeps(crowd, since)
@@ -166,7 +168,7 @@
             await crowd.answered(4)
             self.keeps(crowd, again)
             await crowd.stop()
-            self.once(crowd, besides={"s2"})  # what it kept died with it
+            self.once(crowd, besides={"s2"})  # its retained results died with it
 
     async def test_an_app_server_leaves(self) -> None:
         async with fleet(15) as (here, crowd):
@@ -179,11 +181,11 @@
             self.assertEqual({one.customer for one in crowd.changed(since)}, theirs)
             await crowd.stop()
             self.answers(crowd)
-            self.once(crowd, besides={"s2"})  # likewise
+            self.once(crowd, besides={"s2"})  # its retained results ended with it
 
     async def test_a_node_that_wakes_takes_no_old_word_for_a_new_one(self) -> None:
-        """Seats were kept while an app server ripened, and told to a node that was stopped by then; its
-        customers stayed away until they had ended. Awake, it reads of them, and names none of them."""
+        """Bindings were created while an app server ripened and sent to a node that was stopped. By the time
+        the node resumes and reads them they have expired, and it must use none of them."""
         async with drill(17, servers=3, nodes=2, later={"s3"}, linger=3.0) as here:
             await here.up()
             await here.ripe()
@@ -191,10 +193,14 @@
             begun = here["s3"].started_at
             while not here["s3"].said("processor_ready", begun):
                 await meets(here, "node-1")
-            await visits(here, LATE)  # both nodes have heard of it
+            await visits(here, LATE)  # both nodes know the server by now
             here["node-2"].signal(STOP)
-            before = await visits(here, 0.6 * here.linger)  # where less than 1.5 are left it is told anew
-            await anyio.sleep(2.2 * here.linger)  # a seat is told for two; s3 ripens in one and a margin
+            before = await visits(
+                here, 0.6 * here.linger
+            )  # bindings with less than 1.5 timeouts left are sent again
+            await anyio.sleep(
+                2.2 * here.linger
+            )  # bindings last for two timeouts; s3 ripens after one and a margin
             after = await meets(here, "node-1")
             self.assertEqual({after[one] for one in SOME if after[one] != before[one]}, {"s3"})
             here["node-2"].signal(GO_ON)
--- a/tests/fault_injection/test_bad_input.py
+++ b/tests/fault_injection/test_bad_input.py
@@ -13,8 +13,8 @@
 from tests.fault_injection.play import Drills, fleet
 from tests.fault_injection.test_membership import found_dead
 from thymeyoke.membership import wire
-from thymeyoke.membership.failure_detector import Layer, Said
-from thymeyoke.membership.gossip import Kind, Message, Rumour, Verdict
+from thymeyoke.membership.failure_detector import Announcement, SnapshotLayer
+from thymeyoke.membership.gossip import Accusation, Message, MessageKind, Verdict
 from thymeyoke.membership.view import Load, Snapshot, State
 
 ADDRESS = "127.0.0.1:9"
@@ -23,11 +23,21 @@
 
 def letter(snapshot: Snapshot, about: tuple[Snapshot, ...] = (), fleet: str = "drill", **head: str) -> bytes:
     """A whole message of members; what it says of itself and of others may be anything."""
-    said = tuple(Said(one, 0.0, Layer.FIGURES | Layer.DETAIL) for one in about)
-    rumours = tuple(Rumour(one.name, one.incarnation, 0, Verdict.DEAD, snapshot.name) for one in about)
-    message = Message(Kind.PUSH, Said(snapshot, 0.0, Layer.FIGURES | Layer.DETAIL), 1.0, 1, "", said, rumours)
-    badge = wire.Badge(fleet, b"", head.get("name", snapshot.name), head.get("address", snapshot.address))
-    return wire.notifications(wire.WORD, wire.encode(message), badge)
+    said = tuple(Announcement(one, 0.0, SnapshotLayer.FIGURES | SnapshotLayer.DETAIL) for one in about)
+    rumours = tuple(Accusation(one.name, one.incarnation, 0, Verdict.DEAD, snapshot.name) for one in about)
+    message = Message(
+        MessageKind.PUSH,
+        Announcement(snapshot, 0.0, SnapshotLayer.FIGURES | SnapshotLayer.DETAIL),
+        1.0,
+        1,
+        "",
+        said,
+        rumours,
+    )
+    badge = wire.Credentials(
+        fleet, b"", head.get("name", snapshot.name), head.get("address", snapshot.address)
+    )
+    return wire.encode_notifications(wire.CHANNEL, wire.encode(message), badge)
 
 
 def noise(rng: Random) -> dict[str, bytes]:
@@ -54,10 +64,10 @@
         "a sender that is another": letter(one(), name="node-1"),
         "dead by a stranger": letter(one(), (one("s1", incarnation=1), one("s2", sequence=1 << 60))),
         "no address": letter(one(address="nowhere", name="nobody")),
-        "seats of a stranger": wire.notifications(
-            "seats", rng.randbytes(300), wire.Badge("drill", b"", "stranger", ADDRESS)),
-        "a word that nobody has": wire.notifications(
-            "hello", b"", wire.Badge("drill", b"", "stranger", ADDRESS)),
+        "seats of a stranger": wire.encode_notifications(
+            "seats", rng.randbytes(300), wire.Credentials("drill", b"", "stranger", ADDRESS)),
+        "a word that nobody has": wire.encode_notifications(
+            "hello", b"", wire.Credentials("drill", b"", "stranger", ADDRESS)),
     }  # fmt: skip
 
 
--- a/tests/fault_injection/test_membership.py
+++ b/tests/fault_injection/test_membership.py
@@ -1,4 +1,4 @@
-"""Drills: who is there, while links go wrong and processes stop, wake, die and take others' names."""
+"""Membership while links fail and processes stop, resume, die and use the names of others."""
 
 from __future__ import annotations
 
@@ -11,12 +11,11 @@
 from tests.fault_injection.play import Drills, fleet
 
 DEAD = "member_now_dead"
-FOUND = 15.0  # seconds: a death at some ten members and a period of 0.3, with room for a busy machine
+FOUND = 15.0  # seconds to detect a death with ten members and a period of 0.3, on a busy machine
 
 
 def found_dead(here: Drill, since: float, besides: tuple[str, ...] = ()) -> list[tuple[str, str]]:
-    """Who found whom dead, but for those that died or stood still, and for what a machine that stood still
-    brought about."""
+    """Who declared whom dead, except for processes that died or were stopped, and stalls of the machine."""
     return [
         (one.name, line["name"]) for one in here.all.values() for line in one.said(DEAD, since)
         if line["name"] not in besides
@@ -34,7 +33,7 @@
             await here.until(
                 lambda: all(one.said(DEAD, since, name="node-2") for one in rest), FOUND, "a death not found"
             )
-            here.step("it comes back in a new life")
+            here.step("it comes back in a new incarnation")
             here.start("node-2")
             await here.listening("node-2")
             crowd.nodes.append("node-2")
@@ -43,7 +42,7 @@
             self.keeps(crowd, since)
 
     async def test_a_link_that_is_open_one_way_kills_nobody(self) -> None:
-        """Each of two ways in turn, between a node and an app server that holds customers, and two nodes."""
+        """Each direction in turn, between a node and an app server with clients, and between two nodes."""
         async with fleet(42) as (here, crowd):
             for who, to, way in (
                 ("node-1", "s1", THERE), ("s1", "node-1", THERE), ("node-1", "node-2", THERE),
@@ -60,7 +59,7 @@
             self.answers(crowd)
 
     async def test_a_node_that_is_stopped_and_woken_does_no_harm(self) -> None:
-        """For shorter than a suspicion, and for longer: it is found dead, wakes with old news and refutes."""
+        """For less than a suspicion, and for longer: it is declared dead, resumes and refutes that."""
         async with fleet(43) as (here, crowd):
             for long in (False, True):
                 here.step("for long" if long else "for short")
@@ -85,7 +84,7 @@
             self.once(crowd)
 
     async def test_an_app_server_that_is_stopped_and_woken_does_no_harm(self) -> None:
-        """Its customers move, once; woken, it takes none of them back and disturbs no other."""
+        """Its clients move once; after it resumes, none returns to it and no other client is affected."""
         async with fleet(44) as (here, crowd):
             since = time.time()
             theirs = {who for who, server in crowd.last.items() if server == "s2"}
--- a/tests/fault_injection/test_partitions.py
+++ b/tests/fault_injection/test_partitions.py
@@ -8,7 +8,7 @@
 import anyio
 
 from fakes.clients import Crowd
-from tests.app_server import noted
+from tests.app_server import note_on_error
 from tests.fault_injection.play import Drills, fleet
 
 
@@ -16,7 +16,7 @@
     async def test_nodes_that_do_not_hear_each_other(self) -> None:
         """The app servers hear both: nobody is lost to anybody."""
         for what in ("hang", "cut"):
-            with noted(what=what):
+            with note_on_error(what=what):
                 async with fleet(21) as (here, crowd):
                     since = time.time()
                     here.put(here.between(["node-1"], ["node-2"]), what)
--- a/tests/fault_injection/test_slow_start.py
+++ b/tests/fault_injection/test_slow_start.py
@@ -1,9 +1,10 @@
-"""Processes of the program that are let go at one moment, or find list and database ill and back at one.
+"""Processes that resume at the same time, or see registry and dependency fail and recover together.
 
-What counts is the fullest 0.1 s at the list and at the database. Beats lie on a grid of each process's own,
-so after a hold the list's fullest window is as full as before, whatever the phases are. The database here
-takes all that comes, and where it would have fallen is told from that: one that falls cuts its own load off.
-A window is longer by what the stand-ins' own process stood still: what came meanwhile is stamped at its end.
+The measure is the fullest 0.1 s at the registry and at the dependency. Each process reports on a time grid of
+its own, so that after a stop the registry's fullest window is as full as before, whatever the phases are. The
+dependency accepts all calls here, and whether it would have failed is computed from its load; a real failure
+would cut off the load. A window is extended by the time for which the fakes' own process stalled, as arrivals
+during a stall are stamped at its end.
 """
 
 from __future__ import annotations
@@ -25,20 +26,20 @@
 from thymeyoke.slow_start.heartbeat import ENTRY_TTL_SECONDS, INTERVAL_SECONDS, LATENESS_TOLERANCE
 
 MANY, RATE = 16, 3.0
-MORE = 8.0  # ops a second to each where half of the calls must still be some in each window
+MORE = 8.0  # requests per second to each process, so that each window has some calls even at half the rate
 CALM, HOLD, AWAY, AFTER = 4.0, 3.0, 3.0, 3.0  # seconds
-# What gathers in a hold is asked for behind it as far as its target is not over: here all of it.
-HELD = (HOLD, 2 * HOLD, 2 * HOLD)  # seconds: target latency, op timeout, and the routers' patience
-ILL = ENTRY_TTL_SECONDS + 1.5  # seconds of a fault of the list: entries have lapsed
-GONE, WEAK = 2.0, 6.0  # seconds that the database is gone; that it is at half its strength
-WITHIN = 20.0  # seconds: what comes, comes within them on however busy a machine
-OVER = 2.0  # times the steady load, as promised; and three times what chance does to a window
-MOST = MANY * 2 / 3  # reports in one window that phases drawn anew leave far behind; all of them without any
-SPARE = 2  # reports that one window has more than before: those at its edges
-HALF = 0.5  # seconds: a longer window, that chance does less to
-STOOD = WINDOW  # seconds that the stand-ins may have stood still in a play that tells of windows
+# Requests that wait during a stop are run afterwards if their objective allows: here all of them.
+HELD = (HOLD, 2 * HOLD, 2 * HOLD)  # seconds: latency objective, client timeout, and the routers' patience
+ILL = ENTRY_TTL_SECONDS + 1.5  # seconds of a registry fault, after which entries have expired
+GONE, WEAK = 2.0, 6.0  # seconds that the dependency is down, and that it is at half its capacity
+WITHIN = 20.0  # seconds to wait for any condition, even on a busy machine
+OVER = 2.0  # guaranteed maximum relative to the steady load, plus three standard deviations of a window
+MOST = MANY * 2 / 3  # reports in one window; far more than with random phases, and fewer than without
+SPARE = 2  # further reports in one window, at its edges
+HALF = 0.5  # seconds of a longer window with less random variation
+STOOD = WINDOW  # seconds that the fakes may have stalled in a run that measures windows
 TRIES = 3
-LIMIT = 110.0  # seconds of one play
+LIMIT = 110.0  # seconds of one run
 
 
 class Stood(Protocol):
@@ -50,14 +51,14 @@
 
 
 class Peaks(NamedTuple):
-    """The fullest windows, and what the bounds are for windows of their length."""
+    """The fullest windows, and the bounds for windows of their length."""
 
-    usual: float  # calls a second
+    usual: float  # calls per second
     reports: float
     calls: float
     half: float  # calls in the fullest half second
     borne: float  # calls and connections
-    stood: float  # seconds by which a window was longer
+    stood: float  # seconds by which a window was longer because the fakes stalled
 
     def most_calls(self, window: float = WINDOW) -> float:
         usual = OVER * self.usual * (window + self.stood)
@@ -65,7 +66,7 @@
 
     @property
     def falls(self) -> float:
-        """Calls and connections past which the database would have fallen over: four times the usual ones."""
+        """Calls and connections at which the dependency would have failed: four times the usual number."""
         usual = self.usual * (WINDOW + self.stood)
         return 4 * usual + 3 * usual**0.5
 
@@ -84,7 +85,7 @@
 
 
 def ops(here: Hundreds) -> tuple[int, int]:
-    """Asked, and acked."""
+    """Requests sent, and requests served."""
     return sum(one.asked for one in here.all), sum(one.acked for one in here.all)
 
 
@@ -96,7 +97,7 @@
 
 @asynccontextmanager
 async def hundreds(root: Path, rate: float = RATE, *terms: float) -> AsyncIterator[Hundreds]:
-    """They are up, and were calm for a moment."""
+    """Run many processes, and wait until they have been running steadily for a moment."""
     here = Hundreds(MANY, root, rate, *terms)
     here.base.strength = Strength(float("inf"), float("inf"), 0.0)
     try:
@@ -112,7 +113,7 @@
 
 
 def played(play: Callable[[Path], Awaitable[Told]], *changes: Change) -> Told:
-    """What came of a play; again, a few times, where the machine left no turn to those that count."""
+    """Run a scenario; repeat it a few times if the machine stalled the fakes that measure load."""
 
     async def once() -> Told:
         if not changes:
@@ -128,7 +129,7 @@
 
 
 class LetGo(NamedTuple):
-    before: float  # reports in the fullest window that is longer by what is late and still goes out at once
+    before: float  # reports in the fullest window, extended by the lateness with which reports are still sent
     after: Peaks
     stood: float
 
@@ -146,20 +147,20 @@
 
 
 class Ill(NamedTuple):
-    """What came of one fault."""
+    """The result of one fault."""
 
     during: Peaks
-    back: Peaks  # once all was sound again
-    rate: float  # reports a second while it lasted
-    firsts: int  # processes started in it: first reports are not put off, and may fall into one window
-    asked: int  # ops, while it lasted
+    back: Peaks  # after the fault
+    rate: float  # reports per second during the fault
+    firsts: int  # processes started during it; their first reports are not delayed and may coincide
+    asked: int  # requests during the fault
     acked: int
 
 
 class Ills(NamedTuple):
     faults: dict[str, Ill]
-    unanswered: int  # ops, besides those whose connection ended
-    fallen: int  # processes that ended by themselves
+    unanswered: int  # requests, except for those whose connection ended
+    fallen: int  # processes that ended unexpectedly
     stood: float
 
 
@@ -169,7 +170,7 @@
 
 async def fault(here: Hundreds, begin: Callable[[], Awaitable[object]], end: Callable[[], Awaitable[object]],
                 span: float = ILL) -> Ill:  # fmt: skip
-    """It begins and ends; all are listed again within a bound, and most ops are acked."""
+    """Begin and end a fault; wait until all are listed again and most requests are served."""
     asked, acked = ops(here)
     began = time.time()
     await begin()
@@ -185,7 +186,7 @@
 
 
 async def acking(here: Hundreds) -> None:
-    """Until of the ops that are asked most are acked once more."""
+    """Wait until most requests are served again."""
     with anyio.fail_after(WITHIN):
         while True:
             before = ops(here)
@@ -196,13 +197,13 @@
 
 
 async def over(here: Hundreds, faults: dict[str, Ill], began: float) -> Ills:
-    """Nobody asks any more, and each op has the time that it may take."""
+    """Stop sending requests, and give those in flight the time that they may take."""
     here.asking = False
 
     def missing() -> int:
         return sum(one.asked - one.answers - one.lost for one in here.all)
 
-    await anyio.sleep(1.0)  # the last are asked
+    await anyio.sleep(1.0)  # until the last requests are sent
     with suppress(TimeoutError):
         await until(lambda: not missing(), here.patience + SLACK)
     fallen = sum(one.process is None or one.process.poll() is not None for one in here.all)
@@ -210,7 +211,7 @@
 
 
 async def ill_list(root: Path) -> Ills:
-    """All faults of a list, one behind the other; in the first a third is killed and started again."""
+    """All faults of a registry in sequence; a third of the processes is restarted during the first."""
     async with hundreds(root) as here:
         began, found = time.time(), {}
 
@@ -220,14 +221,14 @@
             await until(lambda: all(one.answered for one in here.all))
 
         found["hangs"] = await fault(here, hangs, here.list_rises)
-        found["503"] = await fault(here, partial(here.list_falls, Fault.TURNED), here.list_rises)
+        found["503"] = await fault(here, partial(here.list_falls, Fault.ERROR_STATUS), here.list_rises)
         found["refuses"] = await fault(here, partial(here.list_falls, Fault.REFUSED), here.list_rises)
         return await over(here, found, began)
 
 
 async def ill_base(root: Path) -> Ills:
-    """List and database are gone, and back at one moment; the database is gone, back at half of what is asked
-    of it, and later whole, and in the middle of that a third is killed and started again."""
+    """Registry and dependency go down and recover at the same time. Then the dependency goes down, recovers
+    to half of the load, and later fully; in between a third of the processes is restarted."""
     async with hundreds(root, MORE) as here:
         began, found = time.time(), {}
 
@@ -258,7 +259,7 @@
 
 
 class ColdStart(unittest.TestCase):
-    """The stand-ins run in this process: a loop in debug, as unittest's own, would be their load."""
+    """The fakes run in this process, so the event loop must not run in debug mode as unittest's does."""
 
     def spared(self, now: Peaks) -> None:
         self.assertLessEqual(now.calls, now.most_calls(), now)
@@ -272,7 +273,7 @@
         self.spared(found.after)
 
     def test_without_the_defence_all_come_at_once(self) -> None:
-        """The same play, with late beats that go out at once and calls that do not mind a hold."""
+        """The same scenario, with late reports sent at once and calls that ignore the stall."""
         changes = (
             Change("thymeyoke/slow_start/heartbeat.py", "self.missed or is_on_time", "True or is_on_time"),
             Change("thymeyoke/slow_start/controller.py", "        self.rate_limiter.stalled(now)\n", ""),
@@ -285,7 +286,7 @@
         self.assertGreater(after.borne, after.falls, found)
 
     def whole(self, found: Ills) -> None:
-        """All that is the same for each fault."""
+        """Checks common to all faults."""
         self.assertEqual((found.unanswered, found.fallen), (0, 0), found)
         for what, ill in found.faults.items():
             with self.subTest(fault=what):
@@ -295,7 +296,7 @@
                 self.assertLess(ill.rate, OVER * MANY / INTERVAL_SECONDS, ill)
 
     def test_list_that_hangs_says_503_and_refuses(self) -> None:
-        """For longer than an entry lives. It is nobody's trouble but the list's."""
+        """For longer than an entry's lifetime; requests are still served."""
         found = played(ill_list)
         self.whole(found)
         for ill in found.faults.values():
@@ -304,7 +305,7 @@
     def test_list_and_database_back_and_half_a_database(self) -> None:
         found = played(ill_base)
         self.whole(found)
-        # Whoever was killed has asked nothing for a while, and what is beyond half its strength is nacked.
+        # Killed processes send nothing for a while, and calls beyond half the capacity are rejected.
         self.assertGreater(found.faults["half"].acked, MANY, found)
 
 
--- a/tests/test_bgp.py
+++ b/tests/test_bgp.py
@@ -23,7 +23,7 @@
 from fakes.bgp import BgpPeer
 from fakes.fleet import free_port
 from fakes.processes import Spent
-from tests.app_server import TAKEN, Place, place, steady, until
+from tests.app_server import MAX_LOST_SECONDS, RunningServer, retried, running_server, until
 from thymeyoke.__main__ import main
 from thymeyoke.bgp import peer_connection as speaker_module
 from thymeyoke.bgp import tcp, wire
@@ -76,7 +76,7 @@
 
 
 @asynccontextmanager
-async def around(file: File, *peers: BgpPeer, **changed: Any) -> AsyncIterator[Place]:
+async def around(file: File, *peers: BgpPeer, **changed: Any) -> AsyncIterator[RunningServer]:
     """A server with stand-in peers, by the names p0, p1 and so on."""
     logs.counters.clear()
     try:
@@ -92,16 +92,16 @@
                 return desks[-1]
 
             with mock.patch.object(lifecycle, "Dispatcher", desk_of):
-                async with place(orders=file.read, **changed) as here:
-                    here.desk = desks[0]
+                async with running_server(orders=file.read, **changed) as here:
+                    here.dispatcher = desks[0]
                     yield here
             tasks.cancel_scope.cancel()
     finally:
         file.path.unlink(missing_ok=True)
 
 
-def announcer(here: Place) -> Advertiser:
-    (side,) = here.desk.extensions.extensions
+def announcer(here: RunningServer) -> Advertiser:
+    (side,) = here.dispatcher.extensions.extensions
     assert isinstance(side, Advertiser)
     return side
 
@@ -115,7 +115,7 @@
     return time.time()
 
 
-@steady
+@retried
 class OnSockets(unittest.TestCase):
     def test_a_life(self) -> None:
         """Less preferred, in full, and in a drain less preferred again, then withdrawn, then the door."""
@@ -179,7 +179,7 @@
                     spent = Spent()
                     error, _ = await router.answer(await router.ask("look"))
                     # An op that the machine held up teaches the program a long run: the next may be nacked.
-                    self.assertTrue(error is None or whole.taken() >= TAKEN, error)
+                    self.assertTrue(error is None or whole.taken() >= MAX_LOST_SECONDS, error)
                     acked += error is None
                     took.append(spent.seconds())
                     await anyio.sleep(0.1)
@@ -377,7 +377,7 @@
                 file.off = True  # all of it
                 hup()
                 await until(lambda: not first.routes() and not second.routes())
-                self.assertEqual(here.desk.extensions.extensions, ())
+                self.assertEqual(here.dispatcher.extensions.extensions, ())
                 await until(lambda: not os.path.exists(file.options["control"]))
                 file.off = False
                 hup()
--- a/tests/test_crossing_messages.py
+++ b/tests/test_crossing_messages.py
@@ -1,4 +1,4 @@
-"""Moments in which something is still owed, forced on the dispatcher and its peers."""
+"""Messages that cross each other: events in critical orders at the dispatcher and its peers."""
 
 from __future__ import annotations
 
@@ -11,27 +11,27 @@
 
 from examples.fakes import Database, Processor, Roster
 from fakes.dispatcher import KEYED, START, SimulatedDispatcher
-from tests.app_server import told
+from tests.app_server import start_file_with
 from thymeyoke.admission.events import Outcome
 from thymeyoke.configuration import start_file
 from thymeyoke.configuration.start_file import Address
 from thymeyoke.runtime.logs import counters
 from thymeyoke.server import dependency, endpoint_registry, messages, processor
 
-NAMES = start_file.read_request_names(told()["settings"])
+NAMES = start_file.read_request_names(start_file_with()["settings"])
 SERVED, FAILED, REJECTED = ["served"], ["failed"], ["rejected"]
 
 
-class Dispatcher(unittest.TestCase):
+class DispatcherTestCase(unittest.TestCase):
     def simulated(self, stop: float = 2.0, **changed: Any) -> SimulatedDispatcher:
-        here = SimulatedDispatcher(stop, told(**changed)["settings"])
+        here = SimulatedDispatcher(stop, start_file_with(**changed)["settings"])
         self.addCleanup(here.close)
         return here
 
 
-class Drain(Dispatcher):
-    def test_the_decisions_give_up_before_the_last_resort_whatever_the_figures(self) -> None:
-        """Requests come until the end and none of their runs ends. By stop, grace, slack and tick."""
+class DrainTest(DispatcherTestCase):
+    def test_policy_answers_all_requests_before_the_final_deadline(self) -> None:
+        """Requests arrive until the end and no run ends; cases by stop timeout, grace, slack and tick."""
         figures = [
             (3.2, 2.0, 0.06, 0.004), (2.0, 0.5, 0.1, 0.004), (2.0, 0.5, 0.0, 0.004), (2.0, 0.5, 0.06, 0.01),
             (2.0, 0.0, 0.4, 0.004), (0.6, 0.5, 0.4, 0.004), (0.2, 0.5, 0.06, 0.004), (0.2, 0.1, 0.4, 0.004),
@@ -60,8 +60,8 @@
         self.assertEqual({len(answers) for answers in here.answers.values()}, {1})
         self.assertIn(mock.call(messages.CloseListener()), here.listener.notify.call_args_list)
 
-    def test_nobody_is_let_in_by_a_process_that_is_about_to_end(self) -> None:
-        """With no connection at the notice the door once stood open until the end, and over its closing."""
+    def test_process_about_to_end_accepts_no_connection(self) -> None:
+        """Without connections at the notice the listener used to stay open until the process ended."""
         here = self.simulated()
         here.listener.connections.clear()
         here.listener.notify.side_effect = lambda _: here.listener.connections.add("waited in the queue")
@@ -75,56 +75,62 @@
         self.assertTrue(here.dispatcher.drain.is_done)
 
 
-class Keyed(Dispatcher):
+class IdempotencyKeys(DispatcherTestCase):
     def setUp(self) -> None:
         self.here = self.simulated()
 
-    def keyed(self, id: str, **changed: Any) -> messages.RequestReceived:
+    def keyed_request(self, id: str, **changed: Any) -> messages.RequestReceived:
         return self.here.arrive(id, KEYED, **changed)
 
-    def test_of_tries_in_a_batch_whose_first_is_turned_away_one_is_run(self) -> None:
-        """Their class has run for 0.5 s, and the first has less left than that."""
+    def test_one_of_several_attempts_runs_if_the_first_is_rejected(self) -> None:
+        """Requests of their class take 0.5 s, and the first attempt has less time left than that."""
         here = self.here
-        here.hear(self.keyed("history", idempotency_key="f" * 32))
+        here.hear(self.keyed_request("history", idempotency_key="f" * 32))
         here.now += 0.5
         here.hear(messages.RunEnded("history", Outcome.OK, b""))
-        here.hear(self.keyed("1", client_timeout=0.3), *(self.keyed(id) for id in "234"))
+        here.hear(self.keyed_request("1", client_timeout=0.3), *(self.keyed_request(id) for id in "234"))
         self.assertEqual(here.begun(), ["history", "2"])
         here.hear(messages.RunEnded("2", Outcome.OK, b"made"))
         self.assertEqual(here.verdicts(*"1234"), [REJECTED, SERVED, SERVED, SERVED])
 
-    def test_tries_in_one_batch_with_the_refusal_of_their_run(self) -> None:
-        """The third one once found the request that had just ended, and had no answer."""
+    def test_attempts_in_one_batch_with_a_rejected_start(self) -> None:
+        """The third attempt used to be matched with the request that had just ended, and got no answer."""
         here = self.here
-        here.hear(self.keyed("1"))
-        here.hear(self.keyed("2"), messages.CommandRejected("1", messages.StartRun), self.keyed("3"))
+        here.hear(self.keyed_request("1"))
+        here.hear(
+            self.keyed_request("2"), messages.CommandRejected("1", messages.StartRun), self.keyed_request("3")
+        )
         self.assertEqual(here.begun(), ["1", "3"])
         here.hear(messages.RunEnded("3", Outcome.OK, b"made"))
         self.assertEqual(here.verdicts(*"123"), [FAILED, FAILED, SERVED])
 
-    def test_a_try_within_the_window_is_not_run_whatever_came_between(self) -> None:
-        """By a try with another body whose clock is ahead, and by one behind the window; the processor knows
-        neither, and both are read before the last."""
+    def test_attempt_within_the_window_is_not_run_again(self) -> None:
+        """An attempt comes in between, with another body and a clock that is ahead, or after the window.
+
+        The processor rejects its start, and the last attempt is read after it.
+        """
         here, window = self.here, self.here.dispatcher.classes[KEYED].idempotency_window
         for ahead, moment in [(0.9, -0.5), (0.0, 0.1)]:
             with self.subTest(ahead=ahead):
                 first, between, last = (f"{name} {ahead}" for name in ("first", "between", "last"))
                 key, end = f"{ahead:032}", here.now + window
-                here.hear(self.keyed(first, idempotency_key=key))
+                here.hear(self.keyed_request(first, idempotency_key=key))
                 here.hear(messages.RunEnded(first, Outcome.OK, b"made"))
                 here.run_until(end + moment)
                 here.hear(
-                    self.keyed(between, idempotency_key=key, received_at=here.now + ahead, body=b"other")
+                    self.keyed_request(
+                        between, idempotency_key=key, received_at=here.now + ahead, body=b"other"
+                    )
                 )
                 here.hear(messages.CommandRejected(between, messages.StartRun))
-                here.hear(self.keyed(last, idempotency_key=key, received_at=end - 0.01))
+                here.hear(self.keyed_request(last, idempotency_key=key, received_at=end - 0.01))
                 self.assertNotIn(last, here.begun())
                 self.assertEqual([answer.body for answer in here.answers[last]], [b"made"])
 
-    def test_the_id_of_a_repeat_that_has_gone_gets_no_result_of_its_run(self) -> None:
+    def test_reused_id_of_an_abandoned_retry_gets_no_foreign_result(self) -> None:
         here = self.here
-        here.hear(self.keyed("1"))
-        here.hear(repeat := self.keyed("2"))
+        here.hear(self.keyed_request("1"))
+        here.hear(repeat := self.keyed_request("2"))
         here.hear(messages.ClientGone("2", repeat.client))
         here.hear(here.arrive("2"))
         here.hear(messages.RunEnded("1", Outcome.OK, b"made"))
@@ -132,12 +138,12 @@
         here.hear(messages.RunEnded("2", Outcome.OK, b"its own"))
         self.assertEqual([answer.body for answer in here.answers["2"]], [b"its own"])
 
-    def test_a_run_refused_on_two_links_frees_its_core_and_not_its_key(self) -> None:
-        """The first refusal is lost with its link, as what has no number is."""
+    def test_start_rejected_on_two_links_frees_the_core_but_not_the_key(self) -> None:
+        """The first rejection is lost with its link, as notices without a number are."""
         here = self.here
         for event in (
-            self.keyed("1"),
-            self.keyed("2"),
+            self.keyed_request("1"),
+            self.keyed_request("2"),
             messages.ProcessorDisconnected(),
             messages.ProcessorSynced(2, frozenset("1")),
         ):
@@ -145,17 +151,17 @@
         self.assertEqual(here.begun(), ["1", "1"])
         here.hear(messages.CommandRejected("1", messages.StartRun))
         self.assertEqual((here.dispatcher.in_flight.by_id, here.dispatcher.controller.running.total), ({}, 0))
-        here.hear(self.keyed("3"))
+        here.hear(self.keyed_request("3"))
         self.assertEqual(here.begun(), ["1", "1"])
         self.assertEqual(here.verdicts(*"123"), [FAILED] * 3)
 
-    def test_results_past_the_memory_for_them_are_dropped_and_their_keys_kept(self) -> None:
+    def test_results_beyond_the_memory_limit_are_dropped_but_their_keys_kept(self) -> None:
         here, keys = self.here, [f"{at:032}" for at in range(3)]
         here.dispatcher.retained.max_bytes = 8192
         for key in keys:
-            here.hear(self.keyed(key, idempotency_key=key))
+            here.hear(self.keyed_request(key, idempotency_key=key))
             here.hear(messages.RunEnded(key, Outcome.OK, bytes(4096)))
-        here.hear(*(self.keyed(f"again {key}", idempotency_key=key) for key in keys))
+        here.hear(*(self.keyed_request(f"again {key}", idempotency_key=key) for key in keys))
         self.assertEqual(here.begun(), keys)
         self.assertEqual(here.verdicts(*(f"again {key}" for key in keys)), [FAILED, SERVED, SERVED])
         here.run_until(here.now + 60)
@@ -164,9 +170,9 @@
         )
 
 
-class Peers(unittest.IsolatedAsyncioTestCase):
-    async def test_what_waits_for_a_full_mailbox_is_told_though_its_link_is_given_up(self) -> None:
-        """A move to another address, or a write that fails, as the dispatcher is behind."""
+class PeerClients(unittest.IsolatedAsyncioTestCase):
+    async def test_notice_waiting_for_a_full_mailbox_is_delivered_after_the_link_is_closed(self) -> None:
+        """The address changes, or a write fails, while the dispatcher lags behind."""
         inbox, events = anyio.create_memory_object_stream[messages.Event](1)
         link = processor.ProcessorClient(Address("127.0.0.1", 1), NAMES, inbox)
         notice = b'{"event":"complete","cursor":%d,"handle":"1","fate":"OK","lasted":1,"arg":""}'
@@ -179,7 +185,7 @@
                 with anyio.CancelScope(shield=True), anyio.fail_after(5):
                     self.assertEqual([(await events.receive()).id for _ in "12"], ["1", "1"])
 
-    async def test_a_link_that_is_made_as_its_address_moves_is_given_up(self) -> None:
+    async def test_link_opened_during_an_address_change_is_closed(self) -> None:
         old, new, connect = Processor(), Processor(), anyio.connect_tcp
         inbox, events = anyio.create_memory_object_stream[messages.Event](9)
         async with anyio.create_task_group() as tasks:
@@ -187,22 +193,24 @@
                 await tasks.start(listener.run)
             link = processor.ProcessorClient(Address("127.0.0.1", old.port), NAMES, inbox)
 
-            async def moved_meanwhile(*where: Any) -> Any:
+            async def connect_during_change(*where: Any) -> Any:
                 stream = await connect(*where)
                 if where[1] == old.port:
                     link.send(messages.AddressChanged(Address("127.0.0.1", new.port)))
                 return stream
 
             with inbox, events, link.outbox, link.outbox_reader:
-                with mock.patch.object(anyio, "connect_tcp", moved_meanwhile):
+                with mock.patch.object(anyio, "connect_tcp", connect_during_change):
                     tasks.start_soon(link.run)
                     await new.until(lambda: new.heard)
                 tasks.cancel_scope.cancel()
         self.assertEqual(old.heard, [])
 
-    async def test_the_list_that_was_named_last_is_reported_to(self) -> None:
-        """The start file is read anew several times, and the drain begins, while a report hangs; the server's
-        name has a space."""
+    async def test_reports_go_to_the_registry_configured_last(self) -> None:
+        """The start file is reloaded several times, and the drain begins, while a report hangs.
+
+        The server's name contains a space.
+        """
         silent, last = Roster(status=0), Roster()
         async with anyio.create_task_group() as tasks:
             for listener in (silent, last):
@@ -218,8 +226,8 @@
                 self.assertEqual(last.reports[0], ("/ns/hosts/n%203", "no"))
                 tasks.cancel_scope.cancel()
 
-    async def test_no_call_goes_to_the_database_that_was_moved_away_from(self) -> None:
-        """With the most connections busy at the old address; they end by themselves."""
+    async def test_no_call_goes_to_the_old_dependency_address(self) -> None:
+        """All connections that are allowed are busy with the old address; they end by themselves."""
         old, new = Database(None), Database()
         inbox, events = anyio.create_memory_object_stream[messages.Event](9)
         async with anyio.create_task_group() as tasks:
--- a/tests/test_ledger_service.py
+++ b/tests/test_ledger_service.py
@@ -27,7 +27,7 @@
 from examples.fakes import LOST, Processor, Router, StandIn
 from fakes.fleet import Instance, free_port
 from fakes.processes import Spent
-from tests.app_server import Place, place, steady, until
+from tests.app_server import RunningServer, retried, running_server, until
 from tests.test_ledger import use
 from thymeyoke.__main__ import main
 from thymeyoke.configuration import service_config
@@ -70,7 +70,7 @@
                 await self.receiver._serve(stream)
 
 
-@steady
+@retried
 class Ledgers(unittest.TestCase):
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
@@ -98,7 +98,7 @@
         finally:
             vault.close_file()
 
-    async def ops(self, here: Place, many: int, counted: Counter[tuple[str, str, str]]) -> None:
+    async def ops(self, here: RunningServer, many: int, counted: Counter[tuple[str, str, str]]) -> None:
         router = await here.router()
         sent = []
         for at in range(many):
@@ -116,7 +116,7 @@
             counted: Counter[tuple[str, str, str]] = Counter()
             async with self.far() as far:
                 asked = self.orders(far.port, answers=answers)
-                async with place(Processor(0.002, calls=0), orders=asked, **PATIENT) as here:
+                async with running_server(Processor(0.002, calls=0), orders=asked, **PATIENT) as here:
                     await self.ops(here, 120, counted)
                     await until(lambda: sum(map(rows_of(far), ("acked", "nacked"))) == 120)
                 rows = statement.statement(far.receiver.vault.streams())
@@ -138,7 +138,7 @@
 
     def test_repeats_are_charged_nothing(self) -> None:
         async def run() -> None:
-            async with place(Processor(0.05, calls=0), orders=self.orders()) as here:
+            async with running_server(Processor(0.05, calls=0), orders=self.orders()) as here:
                 router = await here.router()
                 mark = token_hex(16)
                 numbers = [await router.ask("buy", b"x", replay=mark) for _ in range(3)]
@@ -163,7 +163,7 @@
             return real(book, uses)
 
         async def run() -> None:
-            async with place(Processor(0.002, calls=0), orders=self.orders()) as here:
+            async with running_server(Processor(0.002, calls=0), orders=self.orders()) as here:
                 with mock.patch.object(Book, "append", slow):
                     router = await here.router()
                     for _ in range(10):
@@ -181,7 +181,7 @@
                 Book, "append", side_effect=sqlite3.OperationalError("database or disk is full")
             )
             with mock.patch.object(usage_recorder, "MOST", 20):
-                async with place(Processor(0.002, calls=0), orders=self.orders(full=full)) as here:
+                async with running_server(Processor(0.002, calls=0), orders=self.orders(full=full)) as here:
                     router, errors = await here.router(), []
                     with broken:
                         for _ in range(30):
@@ -213,7 +213,7 @@
             asked = self.orders()
             slow = mock.patch.object(usage_recorder, "Book", side_effect=usage_recorder.BadBook("no book"))
             slow.start()
-            async with place(Processor(0.002, calls=0), orders=asked) as here:
+            async with running_server(Processor(0.002, calls=0), orders=asked) as here:
                 router = await here.router()
                 for _ in range(5):
                     self.assertIsNone((await router.answer(await router.ask("look")))[0])
@@ -233,7 +233,9 @@
 
         async def run() -> None:
             with mock.patch.object(Book, "append", slow):
-                async with place(Processor(0.002, calls=0), orders=self.orders(answers="before")) as here:
+                async with running_server(
+                    Processor(0.002, calls=0), orders=self.orders(answers="before")
+                ) as here:
                     router = await here.router()
                     for _ in range(8):
                         self.assertIsNone((await router.answer(await router.ask("look")))[0])
@@ -254,7 +256,7 @@
         async def run() -> None:
             async with (
                 self.far("noise", "half", "cut", "out of turn") as far,
-                place(Processor(0.002, calls=0), orders=self.orders(far.port)) as here,
+                running_server(Processor(0.002, calls=0), orders=self.orders(far.port)) as here,
             ):
                 await self.ops(here, 40, Counter())
                 await until(lambda: sum(map(rows_of(far), ("acked", "nacked"))) == 40)
@@ -270,7 +272,7 @@
                 book.append([use(1000.0 + at)] * 3)
                 book.close(1001.6 + at)
             book.close_file()
-            async with self.far("mute") as far, place(orders=self.orders(far.port)):
+            async with self.far("mute") as far, running_server(orders=self.orders(far.port)):
                 await until(lambda: sum(map(rows_of(far), ("acked",))) == 36)
                 self.assertEqual(far.connections, 2)
 
--- a/tests/test_migration.py
+++ b/tests/test_migration.py
@@ -1201,7 +1201,7 @@
             (
                 controller,
                 "_remains",
-                lambda member: member.there,
+                lambda member: member.is_present,
                 "kept",
                 LEAVE,
                 r"nobody announces t, \['a'\]",
--- a/tests/test_options.py
+++ b/tests/test_options.py
@@ -1,4 +1,4 @@
-"""The option that names a service configuration, and its former spellings."""
+"""The option for the service configuration file, and its former names."""
 
 from __future__ import annotations
 
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -30,7 +30,7 @@
 from fakes.processes import AGAIN, KILL, TERM, Drill, drill
 from tests import app_server as quiet  # no log lines
 from tests.conformance.tables import Case, Row, played, rows
-from thymeyoke.affinity.controller import Seat, Why
+from thymeyoke.affinity.controller import Assignment, AssignmentReason
 from thymeyoke.bgp.controller import Decider, Level, Look, Terms
 from thymeyoke.configuration.service_config import HostPort
 from thymeyoke.membership.configuration import Members
@@ -426,13 +426,16 @@
     """Customers that have spoken, at a node whose app server "a" is at `places`; what its seats were told."""
     said, all_far = list[str](), list[socket.socket]()
 
-    def says(what: str, seat: Seat | None = None) -> Callable[..., Any]:
+    def says(what: str, seat: Assignment | None = None) -> Callable[..., Any]:
         return lambda *_: said.append(what) or seat
 
     seats = SimpleNamespace(
-        margin=1.0, seat=says("seat", Seat("a", Why.HASH)), failed=says("failed", Seat("", Why.NOWHERE)),
-        opened=says("opened"), closed=says("closed"),
-    )  # fmt: skip
+        margin=1.0,
+        assign=says("seat", Assignment("a", AssignmentReason.HASH)),
+        connect_failed=says("failed", Assignment("", AssignmentReason.ALL_FAILED)),
+        connection_opened=says("opened"),
+        connection_closed=says("closed"),
+    )
     loop = asyncio.get_running_loop()
     guests = Guests(MOST, cast(Any, seats), Random(7), loop, lambda: None, says("awake"))
     guests.saw(places)
@@ -552,7 +555,7 @@
 def tells() -> Any:
     """A node that holds 1,023 tenants by its file, t0000 to t1022, and may hold seven more."""
     node, said, lines = Node(orders(), 7), dict[str, Any](), list[str]()
-    node.fleet.say = said.update  # type: ignore[method-assign]
+    node.fleet.announce = said.update  # type: ignore[method-assign]
     logs.gauges.clear()
     services = [service_at(f"t{at:04}", standby=at >= 1023) for at in range(1030)]
     node.moving.change(0.0, Moves(act="move"), services)
--- a/tests/test_server_codecs.py
+++ b/tests/test_server_codecs.py
@@ -1,4 +1,4 @@
-"""The protocols of the routers, the processor and the dependency, as bytes and values."""
+"""The protocols of routers, processor and dependency."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 import msgpack
 import orjson
 
-from tests.app_server import pieces, told
+from tests.app_server import every_split, start_file_with
 from thymeyoke.admission.events import Outcome
 from thymeyoke.configuration import start_file
 from thymeyoke.runtime import extensions, logs
@@ -21,15 +21,15 @@
     routers_wire,
 )
 
-NAMES = start_file.read_request_names(told()["settings"])
+NAMES = start_file.read_request_names(start_file_with()["settings"])
 REF = "9b1f03aa5c7e2d41"
 FIELDS = {"ref": REF, "since": "1764576000123", "sender": "4", "project": "south", "allow": "480",
           "room": "24.5", "class_rank": "0.625"}  # fmt: skip
 KEY = {"replay": "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"}
 
 
-class Codecs(unittest.TestCase):
-    def test_frames_cut_anywhere(self) -> None:
+class CodecTest(unittest.TestCase):
+    def test_frames_in_any_chunks(self) -> None:
         body = bytes(range(256))
         frames = [[0, 7, "buy", [FIELDS | KEY, body]], [0, 8, "alive", [{}]], [2, "cancelRequest", [7]],
                   [0, 9, "look", [FIELDS | {"lookup": "7f3a"}, b""]]]  # fmt: skip
@@ -43,13 +43,13 @@
             routers_wire.CancelMessage(7),
             routers_wire.RequestMessage(9, second),
         ]
-        for parts in pieces(b"".join(map(msgpack.packb, frames))):
+        for parts in every_split(b"".join(map(msgpack.packb, frames))):
             reader = routers_wire.RequestReader(NAMES)
             self.assertEqual([message for part in parts for message in reader.feed(part)], expected)
 
-    def test_what_is_not_told_everywhere(self) -> None:
-        """Another deployment's ops: with no time left, but the work expected and a mark on further tries."""
-        bare = {name: text for name, text in FIELDS.items() if name != "allow"}
+    def test_optional_fields(self) -> None:
+        """Requests without a timeout, with a work hint, or marked as a retry."""
+        fields = {name: text for name, text in FIELDS.items() if name != "allow"}
         cases: list[tuple[dict[str, str], tuple[float, float, bool]]] = [
             ({}, (0.0, 0.0, False)),
             ({"effort": "362.40"}, (0.0, 0.3624, False)),
@@ -57,14 +57,17 @@
             ({"allow": "480"}, (0.48, 0.0, False)),
         ]
         for more, said in cases:
-            (ask,) = routers_wire.RequestReader(NAMES).feed(msgpack.packb([0, 7, "look", [bare | more, b""]]))
-            self.assertIsInstance(ask, routers_wire.RequestMessage)
+            (message,) = routers_wire.RequestReader(NAMES).feed(
+                msgpack.packb([0, 7, "look", [fields | more, b""]])
+            )
+            self.assertIsInstance(message, routers_wire.RequestMessage)
             self.assertEqual(
-                (ask.header.client_timeout, round(ask.header.work_hint, 6), ask.header.is_retry), said
+                (message.header.client_timeout, round(message.header.work_hint, 6), message.header.is_retry),
+                said,
             )
 
-    def test_an_idle_connection_holds_no_decoder(self) -> None:
-        """Each takes some 50 KB: with hundreds of connections held open that was most of the memory."""
+    def test_idle_connection_holds_no_decoder(self) -> None:
+        """A decoder takes some 50 KB, most of the memory with hundreds of open connections."""
         reader, data = routers_wire.RequestReader(NAMES), msgpack.packb([0, 8, "alive", [{}]])
         for _ in range(2):
             self.assertEqual((reader.feed(data[:5]), reader.is_incomplete()), ([], True))
@@ -72,7 +75,7 @@
             self.assertEqual(reader.feed(data[5:]), [routers_wire.HealthCheckMessage(8)])
             self.assertEqual((reader.is_incomplete(), reader.unpacker), (False, None))
 
-    def test_ops_that_are_not_understood_can_be_answered(self) -> None:
+    def test_malformed_requests_can_be_answered(self) -> None:
         changes = [{"allow": "soon"}, {"allow": "0"}, {"room": "nan"}, {"room": "-1"}, {"room": "2000"},
                    {"class_rank": "1"}, {"since": ""}, {"project": "west"}, {"sender": "x"}, {"ref": "short"},
                    {"since": "9" * 40}, {"since": "9" * 13}, {"ref": 5}, {"sender": "-4"}, {"allow": "4_8"},
@@ -86,7 +89,7 @@
                 (message,) = routers_wire.RequestReader(NAMES).feed(msgpack.packb(frame))
                 self.assertEqual((type(message), message[0]), (routers_wire.InvalidRequestMessage, 3))
 
-    def test_what_is_no_frame_ends_the_connection(self) -> None:
+    def test_invalid_frame_closes_the_connection(self) -> None:
         frames = [5, "text", [], [0, "7", "look", [FIELDS, b""]], [2, "dance", [7]], {"a": 1}, [7, 1, 2, 3],
                   [2, "cancelRequest", []], [0, -1, "look", [FIELDS, b""]],
                   [0, 1, "look", [FIELDS, b"x" * 2049]],
@@ -116,7 +119,7 @@
                 self.assertEqual(msgpack.unpackb(routers_wire.encode(what)), frame)
 
     def test_commands_and_notices(self) -> None:
-        """Bodies of any bytes travel as base64; `goon` takes up a paused run and nothing else."""
+        """Bodies are base64-encoded; `goon` only resumes a paused run."""
         cases = [
             (messages.StartRun("a", 1, b"\x00\xff"),
              {"event": "begin", "handle": "a", "entry": "buy", "arg": "AP8="}),
@@ -158,7 +161,7 @@
             with self.subTest(line=line), self.assertRaises(processor_wire.InvalidLineError):
                 processor_wire.decode(line, 1)
 
-    def test_replies_cut_anywhere(self) -> None:
+    def test_replies_in_any_chunks(self) -> None:
         data = b"a ROWS 6\r\nx\r\nb F\r\nb FULL\r\nc ROWS 0\r\n\r\nd NONE\r\ne FAIL\r\nf TIMEOUT\r\n"
         expected = [
             dependency_wire.Reply("a", Outcome.OK, b"x\r\nb F"),
@@ -168,7 +171,7 @@
             dependency_wire.Reply("e", Outcome.ERROR, b""),
             dependency_wire.Reply("f", Outcome.TIMEOUT, b""),
         ]
-        for parts in pieces(data):
+        for parts in every_split(data):
             reader = dependency_wire.ReplyReader()
             self.assertEqual([back for part in parts for back in reader.feed(part)], expected)
         for bad in (b"a\r\n", b"a WELL\r\n", b"a ROWS x\r\n", b"a ROWS -2\r\n", b"a ROWS 1 2\r\n",
@@ -196,7 +199,7 @@
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "start.json"
             for why, change in cases:
-                change(given := told())
+                change(given := start_file_with())
                 path.write_bytes(orjson.dumps(given))
                 with self.subTest(why), self.assertRaisesRegex(start_file.StartFileError, why):
                     start_file.read_start_file(path)
@@ -205,9 +208,9 @@
                 start_file.read_start_file(path)
             with self.assertRaisesRegex(start_file.StartFileError, "cannot be read"):
                 start_file.read_start_file(path / "none")
-            path.write_bytes(orjson.dumps(told()))
-            station, names, given = start_file.read_start_file(path)
-        self.assertEqual((station.stop_timeout, str(station.listen)), (2.0, "127.0.0.1:4100"))
+            path.write_bytes(orjson.dumps(start_file_with()))
+            server_settings, names, given = start_file.read_start_file(path)
+        self.assertEqual((server_settings.stop_timeout, str(server_settings.listen)), (2.0, "127.0.0.1:4100"))
         self.assertEqual((names.request_classes, given.machine.cores), ({"look": 0, "buy": 1}, 2))
 
 
--- a/tests/test_service_config.py
+++ b/tests/test_service_config.py
@@ -74,7 +74,7 @@
     ("least_others = 1", "less = luck", "[announce] less: 'luck' can't be used; give one or more of "
      "graceful_shutdown, med, prepend"),
     (GOOD[GOOD.index("[announce.peer"):], "", "[announce] has no peer; add a section [announce.peer NAME]"),
-    ("[announce]\n", "", "line 2 can't be read; write [section] lines, and option = value under them"),
+    ("[announce]\n", "", "line 2 is invalid; write [section] lines, and option = value below them"),
     (GOOD[:GOOD.index("[announce.peer")], "", "[announce.peer tor-1] stands without [announce]; add that "
      "section"),
     (PEER, "[announce.peer b]\naddress = 127.0.0.1:2\nas = 1\npassive = yes\n" + PEER + "\npassive = yes",
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -1,5 +1,4 @@
-"""Cold starts: the tables of docs/slow_start.md, bounds of budget, pace and beat, hundreds in simulated time,
-and what the actors make of it."""
+"""Slow start: the tables of docs/slow_start.md, bounds as properties, simulated fleets, I/O actors."""
 
 from __future__ import annotations
 
@@ -21,7 +20,7 @@
 
 from examples.fakes import Database, Processor, Roster
 from fakes import slow_start as sim
-from tests.app_server import place, told
+from tests.app_server import running_server, start_file_with
 from tests.conformance.tables import DASH, Row, played, rows
 from thymeyoke.admission.events import Outcome
 from thymeyoke.configuration import start_file
@@ -36,78 +35,84 @@
 from thymeyoke.slow_start.retry_budget import RetryBudget
 
 PAGE = "docs/slow_start.md"
-TERMS = RateLimits(
-    max_concurrency=32.0, sure_concurrency=4.0, tick=0.004, latency_objective=1.0, client_timeout=4.0
-)  # surely 4 calls a second
-LONG = settings(derandomize=True, deadline=None, max_examples=150)
-OK, FULL, UNREACHED = Outcome.OK, Outcome.REJECTED, Outcome.UNREACHABLE
+LIMITS = RateLimits(
+    max_concurrency=32.0, guaranteed_concurrency=4.0, tick=0.004, latency_objective=1.0, client_timeout=4.0
+)  # a fair rate of 4 calls a second
+HYPOTHESIS_SETTINGS = settings(derandomize=True, deadline=None, max_examples=150)
+OK, REJECTED, UNREACHABLE = Outcome.OK, Outcome.REJECTED, Outcome.UNREACHABLE
 
 
-class Life:
-    """One process, driven by facts. Its clock stands still unless it is told to move."""
+class ProcessDriver:
+    """Drives the startup controller of one process with a simulated clock."""
 
     def __init__(self, name: str = "n1", lived: float = 0.3, worked: float = 0.3) -> None:
         self.now = 100.0
-        self.cold = StartupController(self.now, 7, name, TERMS, self.now - lived)
-        self.cold.begin(self.now, worked)
-        self.beat, self.pace = self.cold.heartbeat, self.cold.rate_limiter
+        self.startup = StartupController(self.now, 7, name, LIMITS, self.now - lived)
+        self.startup.begin(self.now, worked)
+        self.heartbeat, self.rate_limiter = self.startup.heartbeat, self.startup.rate_limiter
         self.sent: list[float] = []
-        self.rate, self.took, self.of_use = 40.0, 0.01, inf  # calls a second, seconds of one and of its use
-        self.late = 0  # calls
+        self.rate, self.took, self.call_timeout = 40.0, 0.01, inf  # calls a second, then seconds of a call
+        self.timed_out_calls = 0
 
-    def to_beat(self, late: float = 0.0) -> bool:
-        """On to the next beat; whether a report went out."""
-        self.now = max(self.now, self.beat.wake_at) + late
-        if goes := self.cold.should_report(self.now):
+    def advance_to_heartbeat(self, lateness: float = 0.0) -> bool:
+        """Advance the clock to the next heartbeat; returns whether a report was sent."""
+        self.now = max(self.now, self.heartbeat.next_check_at) + lateness
+        if is_sent := self.startup.should_report(self.now):
             self.sent.append(self.now)
-            self.cold.report_sent(self.now)
-        return goes
-
-    def reports(self, many: int, answered: bool = True, took: float = 0.01, late: float = 0.0) -> Life:
-        for _ in range(many):
-            if self.to_beat(late):
+            self.startup.report_sent(self.now)
+        return is_sent
+
+    def send_reports(
+        self, count: int, answered: bool = True, took: float = 0.01, lateness: float = 0.0
+    ) -> ProcessDriver:
+        for _ in range(count):
+            if self.advance_to_heartbeat(lateness):
                 self.now += took
-                (self.cold.report_accepted if answered else self.cold.report_failed)(self.now)
+                (self.startup.report_accepted if answered else self.startup.report_failed)(self.now)
         return self
 
-    def calls(self, span: float, *ends: Outcome) -> int:
-        """Calls that come, go out as the pace has leave, and end so by turns, or late; how many went."""
-        went, until, turns = 0, self.now + span, cycle(ends or (OK,))
-        waits, out = CallBacklog[float](), deque[tuple[float, float, Outcome]]()
+    def make_calls(self, span: float, *ends: Outcome) -> int:
+        """Make calls for `span` seconds, with these outcomes by turns; returns how many were sent.
+
+        Calls wait for the rate limiter; one that takes longer than `call_timeout` ends as TIMEOUT.
+        """
+        sent_count, until, turns = 0, self.now + span, cycle(ends or (OK,))
+        backlog, out = CallBacklog[float](), deque[tuple[float, float, Outcome]]()
         while self.now < until:
             now = self.now = self.now + 1 / self.rate
-            self.pace.first_attempts += 1
-            waits.add(now, f"{now}", now, False, now + self.of_use)
-            for id in [id for id, one in waits.first_attempts.items() if one.deadline <= now]:
-                waits.drop(id)
+            self.rate_limiter.first_attempts += 1
+            backlog.add(now, f"{now}", now, False, now + self.call_timeout)
+            for id in [id for id, one in backlog.first_attempts.items() if one.deadline <= now]:
+                backlog.drop(id)
             while out and (out[0][0] <= now or now >= until):
                 _, born, end = out.popleft()
-                self.late += end is Outcome.TIMEOUT
-                self.cold.call_ended(now, f"{born}", end, self.took)
+                self.timed_out_calls += end is Outcome.TIMEOUT
+                self.startup.call_ended(now, f"{born}", end, self.took)
             while (
-                waits
-                and self.pace.has_token(now)
-                and (born := waits.take_next(now, self.cold.budget, self.pace.min_time_left)) is not None
+                backlog
+                and self.rate_limiter.has_token(now)
+                and (born := backlog.take_next(now, self.startup.budget, self.rate_limiter.min_time_left))
+                is not None
             ):
-                self.pace.spend(False)
-                back, end = min(now + self.took, born + self.of_use), next(turns)
-                out.append((back, born, end if back < born + self.of_use else Outcome.TIMEOUT))
-                went += 1
-            self.cold.tick(now, waits.oldest_age(now))
-        return went
-
-    def state(self, state: State) -> Life:
-        """On to a state, by facts alone."""
+                self.rate_limiter.spend(False)
+                back, end = min(now + self.took, born + self.call_timeout), next(turns)
+                out.append((back, born, end if back < born + self.call_timeout else Outcome.TIMEOUT))
+                sent_count += 1
+            self.startup.tick(now, backlog.oldest_age(now))
+        return sent_count
+
+    def reach_state(self, state: State) -> ProcessDriver:
+        """Bring the controller into a state by events."""
         if state is State.REPORTING:
-            self.to_beat()
-        self.reports({State.WARMING: 1, State.WARM: 4}.get(state, 0))
-        assert self.cold.state is state, self.cold.state
+            self.advance_to_heartbeat()
+        self.send_reports({State.WARMING: 1, State.WARM: 4}.get(state, 0))
+        assert self.startup.state is state, self.startup.state
         return self
 
-    def warm(self, rate: float = 40.0) -> Life:
-        """Warm, with so many calls a second."""
-        self.state(State.WARM).rate = rate
-        self.calls(6.0)
+    def warm_up(self, rate: float = 40.0) -> ProcessDriver:
+        """Reach the state WARM and make `rate` calls a second."""
+        self.reach_state(State.WARM).rate = rate
+        self.make_calls(6.0)
         return self
 
 
@@ -115,306 +120,333 @@
     return lambda case, row: anyio.run(rule, case, row)
 
 
-def event(case: unittest.TestCase, row: Row, state: State, what: Event) -> None:
-    life = Life().state(state)
-    now, cold, pace_, was = life.now, life.cold, life.pace, life.pace.usual_rate
-    facts: dict[Event, Callable[[], Any]] = {Event.REPORT_SENT: lambda: cold.report_sent(now)}
-    facts[Event.RATE_CUT] = lambda: [cold.call_ended(now, f"c{at}", FULL, 0.01) for at in range(4)]
-    facts[Event.STALLED] = lambda: cold.stalled(now, ENTRY_TTL_SECONDS + 0.1)
-    if life.beat.has_begun:
-        facts[Event.LISTED] = lambda: cold.report_accepted(now)
-        facts[Event.UNLISTED] = lambda: cold.report_failed(now + ENTRY_TTL_SECONDS + 0.1)
+def check_transition(case: unittest.TestCase, row: Row, state: State, event: Event) -> None:
+    process = ProcessDriver().reach_state(state)
+    now, startup, limiter, was = (
+        process.now,
+        process.startup,
+        process.rate_limiter,
+        process.rate_limiter.usual_rate,
+    )
+    triggers: dict[Event, Callable[[], Any]] = {Event.REPORT_SENT: lambda: startup.report_sent(now)}
+    triggers[Event.RATE_CUT] = lambda: [startup.call_ended(now, f"c{at}", REJECTED, 0.01) for at in range(4)]
+    triggers[Event.STALLED] = lambda: startup.stalled(now, ENTRY_TTL_SECONDS + 0.1)
+    if process.heartbeat.has_begun:
+        triggers[Event.LISTED] = lambda: startup.report_accepted(now)
+        triggers[Event.UNLISTED] = lambda: startup.report_failed(now + ENTRY_TTL_SECONDS + 0.1)
     if state is State.WARMING:
-        facts[Event.DEPENDENCY_HEALTHY] = lambda: life.reports(3)
-    facts.get(what, lambda: cold.handle(what))()  # or no fact leads to it in this state
-    if what in facts:
-        shut = what in (Event.RATE_CUT, Event.STALLED)
-        case.assertEqual((pace_.is_open, pace_.next_token_at(now) > now), (not shut, shut))
-        case.assertTrue(what is not Event.UNLISTED or life.beat.retry_at == inf)  # beats alone
-        case.assertTrue(what is not Event.RATE_CUT or pace_.rate == max(pace_.min_rate, was / 2))
+        triggers[Event.DEPENDENCY_HEALTHY] = lambda: process.send_reports(3)
+    triggers.get(event, lambda: startup.handle(event))()  # some events have no trigger in this state
+    if event in triggers:
+        is_closed = event in (Event.RATE_CUT, Event.STALLED)
+        case.assertEqual((limiter.is_open, limiter.next_token_at(now) > now), (not is_closed, is_closed))
+        case.assertTrue(event is not Event.UNLISTED or process.heartbeat.retry_at == inf)  # no retry
+        case.assertTrue(event is not Event.RATE_CUT or limiter.rate == max(limiter.min_rate, was / 2))
     following = row["next state"]
-    case.assertEqual(cold.state.name, state.name if following in DASH else following)
-    case.assertEqual(pace_.is_cold, cold.state is not State.WARM)
+    case.assertEqual(startup.state.name, state.name if following in DASH else following)
+    case.assertEqual(limiter.is_cold, startup.state is not State.WARM)
 
 
 class Page(unittest.TestCase):
-    """The tables of the page; each rule by facts."""
+    """Each row of the tables in docs/slow_start.md; `co_5_...` tests the rule CO-5."""
 
     def test_states(self) -> None:
         played(self, rows(PAGE, "States"), ("state", "event"), {
-            (state.name, what.name): functools.partial(event, state=state, what=what)
-            for state in State for what in Event})  # fmt: skip
+            (state.name, event.name): functools.partial(check_transition, state=state, event=event)
+            for state in State for event in Event})  # fmt: skip
 
     def test_rules(self) -> None:
         played(self, rows(PAGE, "Rules"), "id", {
             f"CO-{number}": getattr(Page, name) for name in dir(Page) if name.startswith("co_")
             for number in name.split("_") if number.isdigit()})  # fmt: skip
 
-    def fills(self, found: Iterable[float], low: float, high: float, slack: float = 0.1) -> None:
-        """All within, and so near to both ends, in parts of the room."""
-        found, room = list(found), slack * (high - low)
-        self.assertTrue(low <= min(found) < low + room and high - room < max(found) <= high, found)
+    def assert_spread(self, found: Iterable[float], low: float, high: float, slack: float = 0.1) -> None:
+        """All values are within the range, and some within `slack` of its width from either end."""
+        found, margin = list(found), slack * (high - low)
+        self.assertTrue(low <= min(found) < low + margin and high - margin < max(found) <= high, found)
 
     def co_1_2_first(self, _: Row) -> None:
-        """At once, or at its own place, where a start took long for what it worked."""
-        self.assertEqual(Life(lived=4 * 0.3 + 0.4).reports(1).sent, [100.0])
-        many = [Life(f"n{at}", lived=4 * 0.3 + 0.5).reports(3) for at in range(100)]
-        for life in many:
-            self.assertEqual(life.sent[0], 100.0 + life.beat.phase * INTERVAL_SECONDS)
-            self.assertAlmostEqual(life.sent[2] - life.sent[0], 2 * INTERVAL_SECONDS)
-        self.fills([life.sent[0] for life in many], 100.0, 100.0 + INTERVAL_SECONDS)
+        """At once or, if the start took long compared with its processor time, at the process's phase."""
+        self.assertEqual(ProcessDriver(lived=4 * 0.3 + 0.4).send_reports(1).sent, [100.0])
+        processes = [ProcessDriver(f"n{at}", lived=4 * 0.3 + 0.5).send_reports(3) for at in range(100)]
+        for process in processes:
+            self.assertEqual(process.sent[0], 100.0 + process.heartbeat.phase * INTERVAL_SECONDS)
+            self.assertAlmostEqual(process.sent[2] - process.sent[0], 2 * INTERVAL_SECONDS)
+        self.assert_spread([process.sent[0] for process in processes], 100.0, 100.0 + INTERVAL_SECONDS)
 
     def co_3_second_by_phase(self, _: Row) -> None:
-        sent = [Life(f"n{at}").reports(2, at % 2 == 0).sent for at in range(100)]
-        self.fills(
+        sent = [ProcessDriver(f"n{at}").send_reports(2, at % 2 == 0).sent for at in range(100)]
+        self.assert_spread(
             [second - first for first, second in sent],
             heartbeat.FIRST_GAP_INTERVALS * INTERVAL_SECONDS,
             (heartbeat.FIRST_GAP_INTERVALS + 1) * INTERVAL_SECONDS,
         )
 
     def co_4_on_the_grid(self, _: Row) -> None:
-        life = Life().reports(30, late=0.05)
-        self.assertAlmostEqual(life.sent[-1] - life.sent[1], 28 * INTERVAL_SECONDS, delta=0.06)
-
-    def co_5_late_is_left_out(self, _: Row) -> None:
-        life = Life().reports(3)
-        place_ = life.beat.next_at
-        self.assertFalse(life.to_beat(late=4.2 * INTERVAL_SECONDS))
-        self.assertAlmostEqual(life.beat.next_at, place_ + 5 * INTERVAL_SECONDS)
-        self.assertTrue(life.to_beat())
-        for failed in range(3, 9):  # each wake late, and one report refused: the entry lives on
-            life = Life(f"n{failed}")
+        process = ProcessDriver().send_reports(30, lateness=0.05)
+        self.assertAlmostEqual(process.sent[-1] - process.sent[1], 28 * INTERVAL_SECONDS, delta=0.06)
+
+    def co_5_late_is_skipped(self, _: Row) -> None:
+        process = ProcessDriver().send_reports(3)
+        scheduled_at = process.heartbeat.next_at
+        self.assertFalse(process.advance_to_heartbeat(lateness=4.2 * INTERVAL_SECONDS))
+        self.assertAlmostEqual(process.heartbeat.next_at, scheduled_at + 5 * INTERVAL_SECONDS)
+        self.assertTrue(process.advance_to_heartbeat())
+        for failed in range(3, 9):  # every timer is late and one report is rejected: the entry stays alive
+            process = ProcessDriver(f"n{failed}")
             for at in range(20):
-                heard = max(life.beat.last_answered_at, 100.0)
+                heard = max(process.heartbeat.last_answered_at, 100.0)
                 self.assertLess(
-                    life.reports(1, at != failed, late=0.08).now, heard + ENTRY_TTL_SECONDS, failed
+                    process.send_reports(1, at != failed, lateness=0.08).now,
+                    heard + ENTRY_TTL_SECONDS,
+                    failed,
                 )
 
     def co_6_late_every_time(self, _: Row) -> None:
-        life = Life().reports(2)
-        self.assertEqual([len(life.reports(1, late=0.2).sent) for _at in range(6)], [2, 3, 3, 4, 4, 5])
+        process = ProcessDriver().send_reports(2)
+        self.assertEqual(
+            [len(process.send_reports(1, lateness=0.2).sent) for _at in range(6)], [2, 3, 3, 4, 4, 5]
+        )
 
     def co_7_8_stretches_and_shrinks(self, _: Row) -> None:
         for answered, took in ((False, 0.0), (True, 0.6 * INTERVAL_SECONDS)):
-            life = Life().reports(3, answered, took)
-            self.assertEqual(life.beat.stretch, MAX_STRETCH)
-            sent = life.reports(40, answered, took).sent[5:]
-            self.fills(
+            process = ProcessDriver().send_reports(3, answered, took)
+            self.assertEqual(process.heartbeat.stretch, MAX_STRETCH)
+            sent = process.send_reports(40, answered, took).sent[5:]
+            self.assert_spread(
                 [after - before for before, after in pairwise(sent)],
                 INTERVAL_SECONDS,
                 MAX_STRETCH * INTERVAL_SECONDS,
                 1 / 4,
             )
             for at in range(1, 9):
-                self.assertAlmostEqual(life.reports(1).beat.stretch, max(1.0, MAX_STRETCH - 0.1 * at))
+                self.assertAlmostEqual(
+                    process.send_reports(1).heartbeat.stretch, max(1.0, MAX_STRETCH - 0.1 * at)
+                )
 
-    def co_9_lives_on(self, _: Row) -> None:
-        life = Life().state(State.WARM)
+    def co_9_entry_stays_alive(self, _: Row) -> None:
+        process = ProcessDriver().reach_state(State.WARM)
         for _at in range(8):
-            heard = life.reports(1).beat.last_answered_at
-            life.reports(3, False)
-            self.assertEqual((life.beat.stretch, life.beat.retry_at), (1.0, inf))
-            self.assertLessEqual(life.sent[-1], heard + ENTRY_TTL_SECONDS - 0.25)
-            life.reports(1).reports(2, False, took=INTERVAL_SECONDS)  # not answered until given up
-            self.assertEqual((life.beat.stretch, life.cold.state), (1.0, State.WARM))
-        self.assertEqual(life.cold.budget.available, life.cold.budget.size)
-
-    def co_10_repeat_before_a_lapse(self, _: Row) -> None:
+            heard = process.send_reports(1).heartbeat.last_answered_at
+            process.send_reports(3, False)
+            self.assertEqual((process.heartbeat.stretch, process.heartbeat.retry_at), (1.0, inf))
+            self.assertLessEqual(process.sent[-1], heard + ENTRY_TTL_SECONDS - 0.25)
+            process.send_reports(1).send_reports(2, False, took=INTERVAL_SECONDS)  # timed out
+            self.assertEqual((process.heartbeat.stretch, process.startup.state), (1.0, State.WARM))
+        self.assertEqual(process.startup.budget.available, process.startup.budget.size)
+
+    def co_10_retry_before_expiry(self, _: Row) -> None:
         shares = []
         for at in range(60):
-            life = Life(f"n{at}")
-            purse, one = life.cold.budget, life.state(State.WARM).reports(6, took=0.6 * INTERVAL_SECONDS).beat
+            process = ProcessDriver(f"n{at}")
+            budget, one = (
+                process.startup.budget,
+                process.reach_state(State.WARM).send_reports(6, took=0.6 * INTERVAL_SECONDS).heartbeat,
+            )
             self.assertEqual(one.stretch, MAX_STRETCH)
-            left = purse.available
-            life.reports(2, False)
+            left = budget.available
+            process.send_reports(2, False)
             if (
                 one.next_at + 0.225 <= one.last_answered_at + ENTRY_TTL_SECONDS
-            ):  # spans are drawn: the next beat is in time
+            ):  # intervals are random: the next heartbeat is in time
                 self.assertEqual(one.retry_at, inf)
             elif one.retry_at < inf:
-                self.assertTrue(life.now <= one.retry_at <= one.last_answered_at + ENTRY_TTL_SECONDS - 0.225)
-                self.assertEqual(purse.available, left - 1)
-                shares.append(one.retry_at - life.now)
-                self.assertEqual(life.reports(1, False).beat.retry_at, inf)  # one, and no more
+                self.assertTrue(
+                    process.now <= one.retry_at <= one.last_answered_at + ENTRY_TTL_SECONDS - 0.225
+                )
+                self.assertEqual(budget.available, left - 1)
+                shares.append(one.retry_at - process.now)
+                self.assertEqual(process.send_reports(1, False).heartbeat.retry_at, inf)  # one, and no more
         self.assertGreater(len(shares), 10)
         self.assertGreater(max(shares) - min(shares), 0.2)
-        life = Life().state(State.WARM).reports(6, took=0.6 * INTERVAL_SECONDS)
-        life.cold.budget.available, life.cold.budget.probe_at = 0.0, life.now + 60
-        self.assertEqual(life.reports(2, False).beat.retry_at, inf)
+        process = ProcessDriver().reach_state(State.WARM).send_reports(6, took=0.6 * INTERVAL_SECONDS)
+        process.startup.budget.available, process.startup.budget.probe_at = 0.0, process.now + 60
+        self.assertEqual(process.send_reports(2, False).heartbeat.retry_at, inf)
 
-    def co_11_no_repeat_unlisted(self, _: Row) -> None:
-        life = Life()
-        self.assertEqual([life.reports(1, False).beat.retry_at for _at in range(20)], [inf] * 20)
-        self.assertEqual(life.cold.budget.available, life.cold.budget.size)
+    def co_11_no_retry_while_unlisted(self, _: Row) -> None:
+        process = ProcessDriver()
+        self.assertEqual([process.send_reports(1, False).heartbeat.retry_at for _at in range(20)], [inf] * 20)
+        self.assertEqual(process.startup.budget.available, process.startup.budget.size)
 
     def co_12_given_up(self, _: Row) -> None:
-        life = Life().reports(6, False, took=0.0)
+        process = ProcessDriver().send_reports(6, False, took=0.0)
         for _at in range(5):
-            now = life.now = life.beat.wake_at
-            until = life.cold.report_sent(now)
-            self.assertEqual(until, min(now + heartbeat.REPORT_TIMEOUT_SECONDS, life.beat.next_at))
+            now = process.now = process.heartbeat.next_check_at
+            until = process.startup.report_sent(now)
+            self.assertEqual(until, min(now + heartbeat.REPORT_TIMEOUT_SECONDS, process.heartbeat.next_at))
             self.assertGreaterEqual(until, now + heartbeat.REPORT_TIMEOUT_SECONDS / 2)
 
-    def co_13_out_of_turn(self, _: Row) -> None:
-        life = Life().reports(3)
-        place_ = life.beat.next_at
-        for moment, following in ((life.now + 0.2, place_), (place_ - 0.1, place_ + INTERVAL_SECONDS)):
-            life.beat.send_now(moment)  # the second one stands for the beat right behind it
-            self.assertTrue(life.cold.should_report(moment))
-            life.cold.report_sent(moment)
-            self.assertEqual(life.beat.next_at, following)
-
-    def plays(self, life: Life, *steps: Any) -> None:
-        """Steps: seconds of calls, whether the pace is open behind them, how the calls end by turns."""
+    def co_13_extra_report(self, _: Row) -> None:
+        process = ProcessDriver().send_reports(3)
+        scheduled_at = process.heartbeat.next_at
+        for moment, following in (
+            (process.now + 0.2, scheduled_at),
+            (scheduled_at - 0.1, scheduled_at + INTERVAL_SECONDS),
+        ):
+            process.heartbeat.send_now(moment)  # the second one replaces the heartbeat right after it
+            self.assertTrue(process.startup.should_report(moment))
+            process.startup.report_sent(moment)
+            self.assertEqual(process.heartbeat.next_at, following)
+
+    def check_steps(self, process: ProcessDriver, *steps: Any) -> None:
+        """Make calls in steps: seconds, whether the rate limiter is open after them, outcomes by turns."""
         for span, is_open, *ends in steps:
-            life.calls(span, *ends)
-            self.assertEqual(life.pace.is_open, is_open, (span, ends))
+            process.make_calls(span, *ends)
+            self.assertEqual(process.rate_limiter.is_open, is_open, (span, ends))
 
     def co_14_open(self, _: Row) -> None:
-        life = Life()
-        life.rate = 500.0
-        self.assertAlmostEqual(life.calls(4.0), 2000, delta=1)
-        self.assertTrue(life.pace.is_open)
-        terms = rate_limiter.rate_limits(start_file.read_admission_settings(7, told()["settings"]))
+        process = ProcessDriver()
+        process.rate = 500.0
+        self.assertAlmostEqual(process.make_calls(4.0), 2000, delta=1)
+        self.assertTrue(process.rate_limiter.is_open)
+        limits = rate_limiter.rate_limits(
+            start_file.read_admission_settings(7, start_file_with()["settings"])
+        )
         self.assertEqual(
-            (terms.max_concurrency, terms.sure_concurrency, terms.max_rate), (8.0, 8.0, 8.0 / 0.004)
+            (limits.max_concurrency, limits.guaranteed_concurrency, limits.max_rate), (8.0, 8.0, 8.0 / 0.004)
         )
 
-    def co_15_cold(self, _: Row) -> None:
-        for outcome in (FULL, UNREACHED):
-            life = Life().state(State.WARMING)
-            life.calls(6.0)
-            usual = life.pace.usual_rate
+    def co_15_cut_while_cold(self, _: Row) -> None:
+        for outcome in (REJECTED, UNREACHABLE):
+            process = ProcessDriver().reach_state(State.WARMING)
+            process.make_calls(6.0)
+            usual = process.rate_limiter.usual_rate
             self.assertAlmostEqual(usual, 40.0, delta=4.0)
-            life.pace.good_answers = 3.0
-            life.cold.call_ended(life.now, "x", outcome, 0.0)
-            self.assertAlmostEqual(life.pace.rate, usual / 2)
+            process.rate_limiter.good_answers = 3.0
+            process.startup.call_ended(process.now, "x", outcome, 0.0)
+            self.assertAlmostEqual(process.rate_limiter.rate, usual / 2)
 
-    def co_16_warm(self, _: Row) -> None:
-        self.plays(Life().warm(), (10.0, True, *(OK,) * 14, *(Outcome.CONNECTION_LOST,) * 4, FULL))
+    def co_16_tolerant_while_warm(self, _: Row) -> None:
+        self.check_steps(
+            ProcessDriver().warm_up(), (10.0, True, *(OK,) * 14, *(Outcome.CONNECTION_LOST,) * 4, REJECTED)
+        )
 
-    def co_17_refuses_all(self, _: Row) -> None:
-        self.plays(life := Life().warm(), (0.8, False, UNREACHED))
-        self.assertAlmostEqual(life.pace.rate, 20.0, delta=2.5)
-        for one in (life, Life().warm(5.0)):
-            one.calls(10.0, UNREACHED)
-            self.assertAlmostEqual(one.pace.rate, one.pace.min_rate, delta=0.3)
-            self.assertAlmostEqual(one.calls(20.0, UNREACHED), 20.0 * one.pace.min_rate, delta=6)
+    def co_17_all_calls_rejected(self, _: Row) -> None:
+        self.check_steps(process := ProcessDriver().warm_up(), (0.8, False, UNREACHABLE))
+        self.assertAlmostEqual(process.rate_limiter.rate, 20.0, delta=2.5)
+        for one in (process, ProcessDriver().warm_up(5.0)):
+            one.make_calls(10.0, UNREACHABLE)
+            self.assertAlmostEqual(one.rate_limiter.rate, one.rate_limiter.min_rate, delta=0.3)
+            self.assertAlmostEqual(
+                one.make_calls(20.0, UNREACHABLE), 20.0 * one.rate_limiter.min_rate, delta=6
+            )
 
     def co_18_rises(self, _: Row) -> None:
-        life = Life().warm()
-        usual = life.pace.usual_rate
-        life.calls(12.0, UNREACHED)
-        low = life.pace.rate
-        life.calls(1.0)
-        self.assertAlmostEqual(life.pace.rate, low + 0.9 * usual, delta=usual / 4)
-        life.rate = 90.0  # so many that some always wait
-        rates = [life.pace.rate for _at in range(2) if life.calls(1.0)]
-        self.assertTrue(1.1 * usual < max(rates) <= 1.2 * life.pace.usual_when_closed + 0.1, rates)
-        self.plays(life, (16.0, True))  # still, and of an even kind: there are more calls now
+        process = ProcessDriver().warm_up()
+        usual = process.rate_limiter.usual_rate
+        process.make_calls(12.0, UNREACHABLE)
+        low = process.rate_limiter.rate
+        process.make_calls(1.0)
+        self.assertAlmostEqual(process.rate_limiter.rate, low + 0.9 * usual, delta=usual / 4)
+        process.rate = 90.0  # more than the limit, so that some calls always wait
+        rates = [process.rate_limiter.rate for _at in range(2) if process.make_calls(1.0)]
+        self.assertTrue(
+            1.1 * usual < max(rates) <= 1.2 * process.rate_limiter.usual_rate_at_close + 0.1, rates
+        )
+        self.check_steps(process, (16.0, True))  # opens, as the higher rate becomes the usual one
 
     def co_19_opens(self, _: Row) -> None:
-        self.plays(Life().warm(), (1.0, False, FULL), (8.0, True))
+        self.check_steps(ProcessDriver().warm_up(), (1.0, False, REJECTED), (8.0, True))
 
     def co_20_does_not_open(self, _: Row) -> None:
-        self.plays(life := Life().warm(), (2.0, False, UNREACHED))
-        life.now += 60.0  # nothing is asked
-        life.cold.tick(life.now, 0.0)
-        self.assertFalse(life.pace.is_open)
+        self.check_steps(process := ProcessDriver().warm_up(), (2.0, False, UNREACHABLE))
+        process.now += 60.0  # without any call
+        process.startup.tick(process.now, 0.0)
+        self.assertFalse(process.rate_limiter.is_open)
 
     def co_21_oldest_first(self, _: Row) -> None:
-        waits, purse = CallBacklog[str](max_calls=4), RetryBudget(0.0)
-        purse.available, purse.probe_at = 0.0, 5.0
+        backlog, budget = CallBacklog[str](max_calls=4), RetryBudget(0.0)
+        budget.available, budget.probe_at = 0.0, 5.0
         for id in ("r1", "f1", "r2", "f2"):
-            self.assertTrue(waits.add(0.0, id, id, id[0] == "r"))
-        self.assertFalse(waits.add(0.0, "f3", "f3", False) or waits.add(0.0, "r1", "r1", True))
-        self.assertEqual(waits.oldest_age(2.0), 2.0)
-        self.assertEqual([waits.take_next(0.0, purse) for _at in range(3)], ["f1", "f2", None])
-        self.assertEqual((waits.next_at(0.0, purse), waits.drop("r9")), (5.0, None))
-        purse.available = 1.0
-        self.assertTrue(waits.add(0.05, "f4", "f4", False))
-        self.assertEqual([waits.take_next(0.05, purse) for _at in range(3)], ["r1", "f4", None])
-        self.assertEqual((waits.drop("r2"), len(waits), waits.next_at(1.0, purse)), ("r2", 0, inf))
-        purse.available = 1.0
+            self.assertTrue(backlog.add(0.0, id, id, id[0] == "r"))
+        self.assertFalse(backlog.add(0.0, "f3", "f3", False) or backlog.add(0.0, "r1", "r1", True))
+        self.assertEqual(backlog.oldest_age(2.0), 2.0)
+        self.assertEqual([backlog.take_next(0.0, budget) for _at in range(3)], ["f1", "f2", None])
+        self.assertEqual((backlog.next_at(0.0, budget), backlog.drop("r9")), (5.0, None))
+        budget.available = 1.0
+        self.assertTrue(backlog.add(0.05, "f4", "f4", False))
+        self.assertEqual([backlog.take_next(0.05, budget) for _at in range(3)], ["r1", "f4", None])
+        self.assertEqual((backlog.drop("r2"), len(backlog), backlog.next_at(1.0, budget)), ("r2", 0, inf))
+        budget.available = 1.0
         for id, repeat, until in (("a", False, 1.0), ("b", True, 1.1), ("c", False, 1.2), ("d", True, 9.0)):
-            self.assertTrue(waits.add(0.0, id, id, repeat, until))
+            self.assertTrue(backlog.add(0.0, id, id, repeat, until))
         self.assertEqual(
-            (waits.take_next(0.9, purse, 0.25), waits.expired, purse.available), ("c", ["a", "b"], 1.0)
+            (backlog.take_next(0.9, budget, 0.25), backlog.expired, budget.available), ("c", ["a", "b"], 1.0)
         )
         self.assertEqual(
-            (waits.take_next(5.0, purse, 99.0), purse.available), (None, 1.0)
-        )  # past half of its own
-        self.assertEqual((waits.expired, len(waits)), (["a", "b", "d"], 0))
-        waits.add(5.0, "e", "e", False, 6.0)
-        self.assertEqual(waits.take_next(5.4, purse, 99.0), "e")
+            (backlog.take_next(5.0, budget, 99.0), budget.available), (None, 1.0)
+        )  # less than half of the initial time is left
+        self.assertEqual((backlog.expired, len(backlog)), (["a", "b", "d"], 0))
+        backlog.add(5.0, "e", "e", False, 6.0)
+        self.assertEqual(backlog.take_next(5.4, budget, 99.0), "e")
 
     @on_loop
-    async def co_22_back_as_never_run(self, _: Row) -> None:
-        async with calling(None, shut=True) as here:
-            until = here.ask("a", 0.15)
-            here.ask("b")
-            self.assertEqual(await here.over(1), [("a", UNREACHED)])
+    async def co_22_expired_calls_never_ran(self, _: Row) -> None:
+        async with dependency_client(None, is_closed=True) as harness:
+            until = harness.start_calls("a", 0.15)
+            harness.start_calls("b")
+            self.assertEqual(await harness.outcomes(1), [("a", UNREACHABLE)])
             self.assertGreaterEqual(time.time(), until)
-            here.calls.send(messages.AbandonCall("b"))
-            await here.settled(lambda: not here.calls.backlog)
-            self.assertEqual(here.base.heard, [])
+            harness.client.send(messages.AbandonCall("b"))
+            await harness.wait_until(lambda: not harness.client.backlog)
+            self.assertEqual(harness.database.heard, [])
 
-    def co_23_held(self, _: Row) -> None:
+    def co_23_suspended(self, _: Row) -> None:
         moments = []
         for at in range(100):
-            life = Life(f"n{at}").warm(10.0)
-            life.now += 4.0
-            life.cold.stalled(life.now, 4.0)
-            self.assertAlmostEqual(life.pace.rate, 10.0, delta=1.5)
-            moments.append(life.pace.next_token_at(life.now) - life.now)
+            process = ProcessDriver(f"n{at}").warm_up(10.0)
+            process.now += 4.0
+            process.startup.stalled(process.now, 4.0)
+            self.assertAlmostEqual(process.rate_limiter.rate, 10.0, delta=1.5)
+            moments.append(process.rate_limiter.next_token_at(process.now) - process.now)
         self.assertTrue(0.09 <= min(moments) < 0.12 and 0.17 < max(moments) <= 0.23)
-        life = Life().state(State.WARM)
-        life.cold.stalled(life.now, STALL_SECONDS)  # late as a busy process is
-        self.assertTrue(life.pace.is_open)
+        process = ProcessDriver().reach_state(State.WARM)
+        process.startup.stalled(process.now, STALL_SECONDS)  # no later than in a busy process
+        self.assertTrue(process.rate_limiter.is_open)
 
-    def co_24_moved(self, _: Row) -> None:
-        self.plays(life := Life().warm(), (4.0, False, UNREACHED))
-        life.pace.address_changed(life.now)
-        self.assertAlmostEqual(life.pace.rate, 40.0, delta=4.0)
-        self.plays(life, (6.0, True))
+    def co_24_address_changed(self, _: Row) -> None:
+        self.check_steps(process := ProcessDriver().warm_up(), (4.0, False, UNREACHABLE))
+        process.rate_limiter.address_changed(process.now)
+        self.assertAlmostEqual(process.rate_limiter.rate, 40.0, delta=4.0)
+        self.check_steps(process, (6.0, True))
 
     def co_25_slow_calls(self, _: Row) -> None:
-        life = Life().warm()
-        for life.took, is_open in ((0.03, True), (0.3, False)):
-            self.plays(life, (3.0, is_open))
+        process = ProcessDriver().warm_up()
+        for process.took, is_open in ((0.03, True), (0.3, False)):
+            self.check_steps(process, (3.0, is_open))
 
     def co_26_27_budget(self, _: Row) -> None:
-        """Once it is empty one each 2 s, and one for five that worked."""
-        purse = RetryBudget(0.0)
-        went = [at for at in (*[0] * 40, *range(160)) if purse.take(at / 8)]
-        self.assertEqual((went, purse.next_retry_at(19.9)), ([*[0] * 16, *range(16, 160, 16)], 20.0))
+        """An empty budget admits one retry every 2 s, and one for five successes."""
+        budget = RetryBudget(0.0)
+        sent_count = [at for at in (*[0] * 40, *range(160)) if budget.take(at / 8)]
+        self.assertEqual((sent_count, budget.next_retry_at(19.9)), ([*[0] * 16, *range(16, 160, 16)], 20.0))
         for _at in range(5):
-            purse.record_success()
-        self.assertEqual((purse.take(19.9), purse.take(19.9)), (True, False))
+            budget.record_success()
+        self.assertEqual((budget.take(19.9), budget.take(19.9)), (True, False))
 
-    def co_28_link_lost(self, _: Row) -> None:
-        one = Connector(0.0, Random(1), purse := RetryBudget(0.0))
+    def co_28_connection_lost(self, _: Row) -> None:
+        one = Connector(0.0, Random(1), budget := RetryBudget(0.0))
         for at in range(5):
             one.connected(at)
             one.ready(at)
             self.assertEqual(
-                (one.connection_lost(at + 0.5), purse.available),
-                (connector.FIRST_BACKOFF_SECONDS, purse.size),
+                (one.connection_lost(at + 0.5), budget.available),
+                (connector.FIRST_BACKOFF_SECONDS, budget.size),
             )
 
-    def co_29_link_refused(self, _: Row) -> None:
+    def co_29_connection_refused(self, _: Row) -> None:
         tops = [min(0.5, 0.02 * 2**tries) for tries in range(1, 9)]
         drawn = []
         for seed in range(200):
-            one = Connector(0.0, Random(seed), purse := RetryBudget(0.0))
+            one = Connector(0.0, Random(seed), budget := RetryBudget(0.0))
             drawn.append([one.connect_failed(1.0) for _top in tops])
-            self.assertEqual(purse.available, purse.size - len(tops))
-            purse.available, purse.probe_at = 0.0, 9.0
+            self.assertEqual(budget.available, budget.size - len(tops))
+            budget.available, budget.probe_at = 0.0, 9.0
             self.assertTrue(0.25 <= one.connect_failed(1.0) <= 0.5)
         for top, pauses in zip(tops, zip(*drawn, strict=True), strict=True):
             self.assertTrue(min(pauses) >= 0.01 and 0.8 * top < max(pauses) <= top)
 
-    def co_30_link_slow(self, _: Row) -> None:
+    def co_30_slow_processor(self, _: Row) -> None:
         one = Connector(0.0, Random(1), RetryBudget(0.0))
         one.connected(0.1)
         found = [one.status(at) for at in (1.0, 11.0, 3600.0)]
@@ -424,107 +456,111 @@
             [ConnectorStatus.CONNECTING, *[ConnectorStatus.SLOW] * 2, ConnectorStatus.READY],
         )
 
-    def co_31_link_failed(self, _: Row) -> None:
+    def co_31_failed_processor(self, _: Row) -> None:
         for closes in (False, True):
-            one, now = Connector(0.0, Random(1), purse := RetryBudget(0.0)), 0.0
+            one, now = Connector(0.0, Random(1), budget := RetryBudget(0.0)), 0.0
             fails = one.connection_lost if closes else one.connect_failed
             while now < connector.START_TIMEOUT_SECONDS:
                 self.assertEqual(one.status(now), ConnectorStatus.CONNECTING)
                 one.connected(now) if closes else None
                 now += fails(now)
             self.assertEqual(one.status(now), ConnectorStatus.FAILED)
-            purse.available = purse.size
-            pauses = [one.connect_failed(now), *(fails(now) for _at in range(5000))]  # for half an hour
+            budget.available = budget.size
+            pauses = [one.connect_failed(now), *(fails(now) for _at in range(5000))]  # half an hour
             self.assertTrue(0.25 <= min(pauses) <= max(pauses) <= 0.5)
-            self.assertEqual(purse.available, purse.size)
+            self.assertEqual(budget.available, budget.size)
 
-    def co_32_opens_behind_a_line(self, _: Row) -> None:
-        """Each call of use for a second, before a database that answers after 30 ms, but the first one."""
-        life = Life().reports(2)
-        life.rate, life.took, life.of_use = 100.0, 0.03, 1.0
-        self.plays(life, (20.0, True, FULL, *(OK,) * 2000))
-        self.assertEqual(life.late, 0)
+    def co_32_opens_with_a_backlog(self, _: Row) -> None:
+        """Calls time out after a second; the dependency rejects the first and answers the others in 30 ms."""
+        process = ProcessDriver().send_reports(2)
+        process.rate, process.took, process.call_timeout = 100.0, 0.03, 1.0
+        self.check_steps(process, (20.0, True, REJECTED, *(OK,) * 2000))
+        self.assertEqual(process.timed_out_calls, 0)
 
-    def co_33_trickle(self, _: Row) -> None:
-        """At 400 calls a second no span is without one; once a pace that was shut stayed so for good."""
+    def co_33_single_faults(self, _: Row) -> None:
+        """At 400 calls a second some fault is always recent, which must not keep the limiter closed."""
         for good, is_open in ((19, True), (4, True), (3, False), (1, False)):
-            self.plays(Life().warm(400.0), (1.0, False, UNREACHED), (8.0, is_open, FULL, *(OK,) * good))
+            self.check_steps(
+                ProcessDriver().warm_up(400.0),
+                (1.0, False, UNREACHABLE),
+                (8.0, is_open, REJECTED, *(OK,) * good),
+            )
 
     def co_34_after_a_pause(self, _: Row) -> None:
-        """Looked at all the while, or, with no connection left, not once."""
+        """With `tick` called during the pause or, as without any connection, not called."""
         for looks in ([0.25] * 40, [10.0]):
-            self.plays(life := Life().warm(), (24.0, True))
+            self.check_steps(process := ProcessDriver().warm_up(), (24.0, True))
             for span in looks:
-                life.now += span
-                life.cold.tick(life.now, 0.0)
-            life.cold.call_ended(life.now, "x", FULL, 0.01)
-            self.assertAlmostEqual(life.pace.rate, 20.0, delta=2.0)
-            self.plays(life, (6.0, True))
+                process.now += span
+                process.startup.tick(process.now, 0.0)
+            process.startup.call_ended(process.now, "x", REJECTED, 0.01)
+            self.assertAlmostEqual(process.rate_limiter.rate, 20.0, delta=2.0)
+            self.check_steps(process, (6.0, True))
 
     @on_loop
-    async def co_35_nowhere(self, _: Row) -> None:
-        async with calling(None) as here:
-            here.ask("a")
-            await here.base.until(lambda: here.base.heard)
-            here.ask("b")
-            here.calls.send(messages.AddressChanged(None))  # type: ignore[arg-type]
-            self.assertEqual(await here.over(1), [("b", UNREACHED)])
-            here.calls.send(messages.AddressChanged(here.where))
-            here.shut()
-            here.calls.next_sweep_at = (
+    async def co_35_no_address(self, _: Row) -> None:
+        async with dependency_client(None) as harness:
+            harness.start_calls("a")
+            await harness.database.until(lambda: harness.database.heard)
+            harness.start_calls("b")
+            harness.client.send(messages.AddressChanged(None))  # type: ignore[arg-type]
+            self.assertEqual(await harness.outcomes(1), [("b", UNREACHABLE)])
+            harness.client.send(messages.AddressChanged(harness.address))
+            harness.close_limiter()
+            harness.client.next_sweep_at = (
                 time.time() + 60.0
-            )  # it is not before this that it would look by itself
-            here.calls.startup.failed_calls.add(time.time(), "e")
-            here.ask("cde")
-            await here.settled(lambda: len(here.calls.backlog) == 3)
-            here.calls.send(messages.AddressChanged(None))  # type: ignore[arg-type]
-            self.assertEqual(sorted(await here.over(3)), [(id, UNREACHED) for id in "cde"])
-            self.assertFalse(here.calls.send(messages.StartCall("f", time.time() + 9, b"x")))
-            self.assertTrue(here.calls.send(messages.AbandonCall("a")))  # it is still out, where it was
-            await here.settled(lambda: not here.calls.in_flight)
-            self.assertEqual(here.events.statistics().current_buffer_used, 0)
+            )  # the client does not sweep by itself before this
+            harness.client.startup.failed_calls.add(time.time(), "e")
+            harness.start_calls("cde")
+            await harness.wait_until(lambda: len(harness.client.backlog) == 3)
+            harness.client.send(messages.AddressChanged(None))  # type: ignore[arg-type]
+            self.assertEqual(sorted(await harness.outcomes(3)), [(id, UNREACHABLE) for id in "cde"])
+            self.assertFalse(harness.client.send(messages.StartCall("f", time.time() + 9, b"x")))
+            self.assertTrue(harness.client.send(messages.AbandonCall("a")))  # in flight to the old address
+            await harness.wait_until(lambda: not harness.client.in_flight)
+            self.assertEqual(harness.events.statistics().current_buffer_used, 0)
 
     @on_loop
-    async def co_36_clock_stands_still(self, _: Row) -> None:
-        async with calling(shut=True) as here:
+    async def co_36_clock_stops(self, _: Row) -> None:
+        async with dependency_client(is_closed=True) as harness:
             still = dependency.clock()
             with mock.patch.object(dependency, "clock", lambda: still):
-                here.calls.rate_limiter.rate, here.calls.rate_limiter.tokens = 40.0, -1.0
-                here.ask("abc")
-                self.assertEqual(await here.over(3), [(id, OK) for id in "abc"])
-            self.assertFalse(here.calls.rate_limiter.is_open)
+                harness.client.rate_limiter.rate, harness.client.rate_limiter.tokens = 40.0, -1.0
+                harness.start_calls("abc")
+                self.assertEqual(await harness.outcomes(3), [(id, OK) for id in "abc"])
+            self.assertFalse(harness.client.rate_limiter.is_open)
 
 
 class Bounds(unittest.TestCase):
-    @LONG
+    @HYPOTHESIS_SETTINGS
     @given(st.lists(st.tuples(st.floats(0, 3), st.booleans()), max_size=120), st.floats(0, 64))
-    def test_repeats(self, steps: list[tuple[float, bool]], size: float) -> None:
-        """Never more than the size, a tenth of what worked, and the floor; never fewer than the floor."""
-        purse, now, took, won, last = RetryBudget(0.0, size), 0.0, 0, 0, 0.0
+    def test_retry_budget(self, steps: list[tuple[float, bool]], size: float) -> None:
+        """Retries never exceed size, refill and probes together, and are never fewer than the probes."""
+        budget, now, took, won, last = RetryBudget(0.0, size), 0.0, 0, 0, 0.0
         for span, works in steps:
             now, won = now + span, won + works
-            purse.record_success() if works else None
-            had, due, went = purse.can_retry(now), purse.next_retry_at(now) <= now, purse.take(now)
-            self.assertEqual((had, due), (went, went))
-            self.assertTrue(went or now < last + retry_budget.PROBE_SECONDS)
-            took, last = took + went, now if went else last
+            budget.record_success() if works else None
+            had, due, sent_count = budget.can_retry(now), budget.next_retry_at(now) <= now, budget.take(now)
+            self.assertEqual((had, due), (sent_count, sent_count))
+            self.assertTrue(sent_count or now < last + retry_budget.PROBE_SECONDS)
+            took, last = took + sent_count, now if sent_count else last
             self.assertLessEqual(
                 took,
-                purse.size
+                budget.size
                 + retry_budget.REFILL_PER_SUCCESS * won
                 + now / retry_budget.PROBE_SECONDS
                 + 1
                 + 1e-6,
             )
-            self.assertTrue(0 <= purse.available <= purse.size)
+            self.assertTrue(0 <= budget.available <= budget.size)
 
-    @LONG
+    @HYPOTHESIS_SETTINGS
     @given(st.integers(0, 99), st.lists(
         st.tuples(st.floats(0, 0.4), st.sampled_from([*Outcome]), st.floats(0, 2), st.booleans()),
         max_size=150))  # fmt: skip
-    def test_pace(self, seed: int, steps: list[tuple[float, Outcome, float, bool]]) -> None:
-        """Closed, it stays between floor and cap, lets out what the rate says at most, and never nothing."""
-        one, now, booked, allowed = CallRateLimiter(0.0, Random(seed), TERMS), 0.0, 0, 1.0
+    def test_rate_limiter(self, seed: int, steps: list[tuple[float, Outcome, float, bool]]) -> None:
+        """A closed limiter keeps its rate between floor and cap, never exceeds it and never stops calls."""
+        one, now, booked, allowed = CallRateLimiter(0.0, Random(seed), LIMITS), 0.0, 0, 1.0
         for span, outcome, took, cold in steps:
             now, one.is_cold = now + span, cold
             one.first_attempts += 1
@@ -539,29 +575,31 @@
                 self.assertTrue(one.min_rate <= one.rate <= one.rate_cap)
                 self.assertLessEqual(
                     booked, allowed / (1 - rate_limiter.JITTER)
-                )  # each costs half a token at least
+                )  # each call costs at least half a token
                 self.assertLessEqual(one.next_token_at(now), now + 2 / one.min_rate)
 
-    @LONG
+    @HYPOTHESIS_SETTINGS
     @given(st.integers(0, 999), st.lists(st.tuples(
         st.sampled_from([True, True, False]), st.booleans(), st.floats(0, 0.44), st.floats(0, 0.07)),
         max_size=80))  # fmt: skip
-    def test_one_failure_in_a_row(self, seed: int, steps: list[tuple[bool, bool, float, float]]) -> None:
-        """It costs no entry, whatever the failure, and however late a beat is that is not yet missed."""
-        life, failed = Life(f"n{seed}"), True
-        for answered, silent, took, late in steps:
-            answered = answered or failed  # one in a row
-            if not life.to_beat(late):
+    def test_single_failures_keep_the_entry(
+        self, seed: int, steps: list[tuple[bool, bool, float, float]]
+    ) -> None:
+        """One failed report never expires the entry, even if heartbeats are as late as tolerated."""
+        process, failed = ProcessDriver(f"n{seed}"), True
+        for answered, silent, took, lateness in steps:
+            answered = answered or failed  # no two failures in a row
+            if not process.advance_to_heartbeat(lateness):
                 continue
-            given_up = min(life.now + heartbeat.REPORT_TIMEOUT_SECONDS, life.beat.next_at)
-            life.now = given_up if silent and not answered else life.now + took
-            if life.beat.last_answered_at > 0:
-                self.assertLess(life.now, life.beat.last_answered_at + ENTRY_TTL_SECONDS)
-            (life.cold.report_accepted if answered else life.cold.report_failed)(life.now)
+            given_up = min(process.now + heartbeat.REPORT_TIMEOUT_SECONDS, process.heartbeat.next_at)
+            process.now = given_up if silent and not answered else process.now + took
+            if process.heartbeat.last_answered_at > 0:
+                self.assertLess(process.now, process.heartbeat.last_answered_at + ENTRY_TTL_SECONDS)
+            (process.startup.report_accepted if answered else process.startup.report_failed)(process.now)
             failed = not answered
 
-    def test_phases_are_even_and_their_own(self) -> None:
-        """By name though all have one seed, by seed though all have one name."""
+    def test_phases_are_uniform_and_distinct(self) -> None:
+        """For different names with the same seed, and for different seeds with the same name."""
         for made in (
             lambda at: StartupController(0.0, 7, f"n{at}"),
             lambda at: StartupController(0.0, at, "n"),
@@ -573,7 +611,7 @@
             StartupController(0.0, 7, "n").heartbeat.phase, StartupController(5.0, 7, "n").heartbeat.phase
         )
 
-    def test_ids_that_failed(self) -> None:
+    def test_failed_calls(self) -> None:
         failed = FailedCalls(4.0, max_entries=3)
         for at, id in enumerate("abcad"):
             failed.add(float(at), id)
@@ -586,81 +624,83 @@
 
 
 class Simulated(unittest.TestCase):
-    """300 processes that nothing spreads but their own decisions, beside the program without them."""
+    """300 simulated processes with slow start, compared with processes without it (`old`)."""
 
     def test_peaks(self) -> None:
-        """At most twice the steady rate, where the program without them goes far past it."""
+        """Load stays below twice the steady rate, and far exceeds it without slow start."""
         calls = (sim.let_go_at_once, sim.held_for_a_moment, sim.both_back, sim.half_strength)
         reports = (sim.crowded_starts, sim.let_go_at_once, sim.both_back, sim.list_gone, sim.list_hangs,
                    sim.list_says_503, sim.third_killed_crowded, sim.second_cold_start)  # fmt: skip
         for what in dict.fromkeys((*calls, *reports)):
             with self.subTest(what.__name__):
-                now, before = sim.play(what), sim.play(what, old=True)
+                now, before = sim.play(what), sim.play(what, is_baseline=True)
                 self.assertLessEqual(max(now.reports, now.calls), 2.0, now)
                 self.assertTrue(now.fallen == 0 and now.gap < ENTRY_TTL_SECONDS and now.listed < inf, now)
                 self.assertLessEqual(now.again, MAX_STRETCH * INTERVAL_SECONDS + 0.1)
                 self.assertTrue(what not in reports or before.reports > 4.0, before)
                 self.assertTrue(what not in calls or before.calls > 4.0, before)
 
-    def test_reports_alone(self) -> None:
-        """The first ones are not put off: those of one instant come together; nothing behind them does."""
+    def test_reports_without_calls(self) -> None:
+        """First reports are not delayed and come together after a common start; later ones are spread."""
         self.assertGreater(sim.play(sim.born_at_once, rate=0.0).reports, 8.0)
         self.assertLessEqual(sim.play(sim.behind_the_first, rate=0.0).reports, 2.0)
-        self.assertLess(sim.play(sim.list_back_after_an_hour, many=60, rate=0.0).listed, inf)
+        self.assertLess(sim.play(sim.list_back_after_an_hour, process_count=60, rate=0.0).listed, inf)
 
-    def test_without_phases_it_fails(self) -> None:
-        """The proof can fail: one phase for all, no beat that is left out, no call that is cut."""
-        for place_, name, value, play, loads in (
+    def test_detects_missing_defences(self) -> None:
+        """Mutation test: one phase for all, no skipped heartbeat, no cut of the rate."""
+        for target, name, value, play, loads in (
             (heartbeat.Random, "random", lambda self: 0.5, sim.let_go_at_once, "reports"),
             (heartbeat, "LATENESS_TOLERANCE", inf, sim.let_go_at_once, "reports"),
             (rate_limiter, "FAULT_SHARE", inf, sim.both_back, "calls"),
         ):
-            with mock.patch.object(place_, name, value):
+            with mock.patch.object(target, name, value):
                 self.assertGreater(getattr(sim.play(play), loads), 2.0)
 
 
-class Calling:
-    """The database's actor alone, and what it tells the desk."""
+class DependencyClientHarness:
+    """A dependency client alone, with the events that it sends to the dispatcher."""
 
-    def __init__(self, base: Database) -> None:
-        self.base, self.where = base, start_file.Address("127.0.0.1", base.port)
+    def __init__(self, database: Database) -> None:
+        self.database, self.address = database, start_file.Address("127.0.0.1", database.port)
         self.inbox, self.events = anyio.create_memory_object_stream[Any](64)
-        self.calls = dependency.DependencyClient(
-            self.where, self.inbox, StartupController(time.time(), 7, "n", TERMS)
+        self.client = dependency.DependencyClient(
+            self.address, self.inbox, StartupController(time.time(), 7, "n", LIMITS)
         )
 
-    def shut(self) -> None:
-        """Nothing has leave for a while."""
-        one = self.calls.rate_limiter
+    def close_limiter(self) -> None:
+        """Close the rate limiter, so that no call gets a token for a while."""
+        one = self.client.rate_limiter
         one._close(time.time())
-        one.usual_when_closed, one.rate, one.tokens = 0.0, one.min_rate, -60.0
+        one.usual_rate_at_close, one.rate, one.tokens = 0.0, one.min_rate, -60.0
 
-    def ask(self, ids: Iterable[str], within: float = 9.0) -> float:
+    def start_calls(self, ids: Iterable[str], within: float = 9.0) -> float:
         until = time.time() + within
         for id in ids:
-            self.calls.send(messages.StartCall(id, until, b"x"))
+            self.client.send(messages.StartCall(id, until, b"x"))
         return until
 
-    async def over(self, many: int) -> list[tuple[str, Outcome]]:
+    async def outcomes(self, count: int) -> list[tuple[str, Outcome]]:
         with anyio.fail_after(3):
-            return [(await self.events.receive())[:2] for _at in range(many)]
+            return [(await self.events.receive())[:2] for _at in range(count)]
 
-    async def settled(self, true: Callable[[], Any]) -> None:
+    async def wait_until(self, true: Callable[[], Any]) -> None:
         with anyio.fail_after(3):
             while not true():
                 await anyio.sleep(0.005)
 
 
 @asynccontextmanager
-async def calling(word: str | None = "ROWS", shut: bool = False) -> AsyncIterator[Calling]:
+async def dependency_client(
+    word: str | None = "ROWS", is_closed: bool = False
+) -> AsyncIterator[DependencyClientHarness]:
     async with anyio.create_task_group() as tasks:
-        await tasks.start((base := Database(word)).run)
-        here = Calling(base)
-        here.shut() if shut else None
-        tasks.start_soon(here.calls.run)
-        yield here
+        await tasks.start((database := Database(word)).run)
+        harness = DependencyClientHarness(database)
+        harness.close_limiter() if is_closed else None
+        tasks.start_soon(harness.client.run)
+        yield harness
         tasks.cancel_scope.cancel()
-    for mailbox in (here.inbox, here.events, here.calls.outbox, here.calls.outbox_reader):
+    for mailbox in (harness.inbox, harness.events, harness.client.outbox, harness.client.outbox_reader):
         mailbox.close()
 
 
@@ -668,23 +708,23 @@
     def setUp(self) -> None:
         logs.counters.clear()
 
-    async def test_calls_wait_for_leave_and_go_out_oldest_first(self) -> None:
-        """For one more there is no room, which is told at once."""
-        async with calling(shut=True) as here:
-            here.calls.backlog.max_calls = 3
-            here.ask("abcd")
-            self.assertEqual(await here.over(1), [("d", UNREACHED)])
+    async def test_calls_wait_for_tokens_oldest_first(self) -> None:
+        """A call beyond the backlog's capacity fails at once."""
+        async with dependency_client(is_closed=True) as harness:
+            harness.client.backlog.max_calls = 3
+            harness.start_calls("abcd")
+            self.assertEqual(await harness.outcomes(1), [("d", UNREACHABLE)])
             counts = [logs.counters[name] for name in ("calls_delayed", "calls_over_backlog")]
-            self.assertEqual((here.base.heard, counts), ([], [3, 1]))
-            here.calls.rate_limiter.tokens = 3.0
-            here.calls.send(messages.AbandonCall("none"))  # it looks in again
-            self.assertEqual(await here.over(1), [("a", OK)])
-            here.calls.rate_limiter.rate = TERMS.max_rate
-            here.calls.send(messages.AbandonCall("none"))
-            self.assertEqual([outcome for _, outcome in await here.over(2)], [OK] * 2)
-            self.assertEqual(here.base.heard, ["Q a", "Q b", "Q c"])
-
-    async def test_given_up_on_a_connection_that_is_just_ending(self) -> None:
+            self.assertEqual((harness.database.heard, counts), ([], [3, 1]))
+            harness.client.rate_limiter.tokens = 3.0
+            harness.client.send(messages.AbandonCall("none"))  # makes the client check its backlog
+            self.assertEqual(await harness.outcomes(1), [("a", OK)])
+            harness.client.rate_limiter.rate = LIMITS.max_rate
+            harness.client.send(messages.AbandonCall("none"))
+            self.assertEqual([outcome for _, outcome in await harness.outcomes(2)], [OK] * 2)
+            self.assertEqual(harness.database.heard, ["Q a", "Q b", "Q c"])
+
+    async def test_abandon_on_a_closing_connection(self) -> None:
         line = dependency.DependencyConnection(start_file.Address("127.0.0.1", 1), mock.AsyncMock())
         for id in "ab":
             self.assertTrue(line.start(messages.StartCall(id, time.time() + 9, b"x"), time.time()))
@@ -692,72 +732,78 @@
         line.outbox_reader.close()
         self.assertIsNotNone(line.abandon("a"))
 
-    async def test_a_repeat_without_budget_waits_and_holds_up_no_first_try(self) -> None:
-        async with calling("FULL") as here:
-            here.ask("a")
-            await here.over(1)
-            here.calls.rate_limiter.rate, purse = TERMS.max_rate, here.calls.startup.budget
-            purse.available, purse.probe_at = 0.0, time.time() + 60
-            here.ask("ab")
-            self.assertEqual(await here.over(1), [("b", FULL)])
-            self.assertEqual(here.base.heard, ["Q a", "Q b"])
-            self.assertIsNotNone(here.calls.backlog.get("a"))
-
-    async def test_a_database_that_is_back_is_not_overrun(self) -> None:
-        """Twenty calls wait when it comes back; once all of them went out at once."""
-        async with calling() as here:
-            here.calls.address = start_file.Address("127.0.0.1", 1)
-            here.ask(map(str, range(20)), 30)
-            await here.settled(lambda: not here.calls.rate_limiter.is_open)
-            here.calls.address = here.where
-            here.ask(map(str, range(20, 40)), 30)
-            await here.base.until(lambda: here.base.heard)
+    async def test_a_retry_without_budget_does_not_block_first_attempts(self) -> None:
+        async with dependency_client("FULL") as harness:
+            harness.start_calls("a")
+            await harness.outcomes(1)
+            harness.client.rate_limiter.rate, budget = LIMITS.max_rate, harness.client.startup.budget
+            budget.available, budget.probe_at = 0.0, time.time() + 60
+            harness.start_calls("ab")
+            self.assertEqual(await harness.outcomes(1), [("b", REJECTED)])
+            self.assertEqual(harness.database.heard, ["Q a", "Q b"])
+            self.assertIsNotNone(harness.client.backlog.get("a"))
+
+    async def test_a_returning_database_is_not_overloaded(self) -> None:
+        """Twenty calls wait when the database returns; they must not be sent all at once."""
+        async with dependency_client() as harness:
+            harness.client.address = start_file.Address("127.0.0.1", 1)
+            harness.start_calls(map(str, range(20)), 30)
+            await harness.wait_until(lambda: not harness.client.rate_limiter.is_open)
+            harness.client.address = harness.address
+            harness.start_calls(map(str, range(20, 40)), 30)
+            await harness.database.until(lambda: harness.database.heard)
             began = time.time()
             await anyio.sleep(0.3)
             self.assertLessEqual(
-                len(here.base.heard), 2 + here.calls.rate_limiter.rate_cap * (time.time() - began)
+                len(harness.database.heard), 2 + harness.client.rate_limiter.rate_cap * (time.time() - began)
             )
-            self.assertGreater(len(here.calls.backlog), 10)
+            self.assertGreater(len(harness.client.backlog), 10)
 
-    async def test_what_is_said_already_is_not_said_again(self) -> None:
-        """That the processor is up once led to a report out of turn: of all at one moment, when a zone is
-        back. What is new goes out at once."""
-        async with place() as here:
+    async def test_unchanged_health_is_not_reported_again(self) -> None:
+        """A ready processor alone must not cause an extra report.
+
+        When a zone returns, the processors of all its servers become ready at the same time. A change of
+        health is reported at once.
+        """
+        async with running_server() as harness:
             began = time.time()
-            await here.roster.until(lambda: here.roster.reports)
-            await (router := await here.router()).answer(await router.ask("look"))
+            await harness.roster.until(lambda: harness.roster.reports)
+            await (router := await harness.router()).answer(await router.ask("look"))
             self.assertLessEqual(
-                len(here.roster.reports),
+                len(harness.roster.reports),
                 1 + (time.time() - began) / (heartbeat.FIRST_GAP_INTERVALS * INTERVAL_SECONDS),
             )
             with mock.patch.multiple(
                 endpoint_registry, REPORT_PERIOD_SECONDS=60.0, REPORT_TIMEOUT_SECONDS=60.0
             ):
                 alone = endpoint_registry.EndpointRegistryClient(
-                    start_file.Address("127.0.0.1", here.roster.port), "other"
+                    start_file.Address("127.0.0.1", harness.roster.port), "other"
                 )
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(alone.run)
-                await here.roster.until(lambda: ("/ns/hosts/other", "yes") in here.roster.reports)
+                await harness.roster.until(lambda: ("/ns/hosts/other", "yes") in harness.roster.reports)
                 for fit in (True, False, False):
                     alone.send(messages.HealthChanged(fit))
-                await here.roster.until(lambda: ("/ns/hosts/other", "no") in here.roster.reports)
-                said = [fit for path, fit in here.roster.reports if path.endswith("other")]
+                await harness.roster.until(lambda: ("/ns/hosts/other", "no") in harness.roster.reports)
+                said = [fit for path, fit in harness.roster.reports if path.endswith("other")]
                 self.assertEqual(said, ["yes", "no"])
                 tasks.cancel_scope.cancel()
             for mailbox in (alone.outbox, alone.outbox_reader):
                 mailbox.close()
 
-    async def test_peers_that_come_up_late(self) -> None:
-        """A list that says 503 at first is found again; a processor that takes the link and is silent is not
-        tried again, and up soon after it is there."""
+    async def test_peers_that_start_late(self) -> None:
+        """Late peers are found.
+
+        A registry that first answers 503 is retried. A processor that accepts the connection, but is silent,
+        is not reconnected to, and used soon after its ready message.
+        """
         slow = Processor()
         slow.up = anyio.Event()
         with mock.patch.multiple(endpoint_registry, REPORT_PERIOD_SECONDS=0.05, REPORT_TIMEOUT_SECONDS=0.05):
-            async with place(slow, roster=Roster(503)) as here:
-                await here.roster.until(lambda: logs.counters["reports_failed"] > 5 or None)
-                here.roster.status = 204
-                await here.roster.until(lambda: logs.counters["reports_accepted"] > 2 or None)
+            async with running_server(slow, roster=Roster(503)) as harness:
+                await harness.roster.until(lambda: logs.counters["reports_failed"] > 5 or None)
+                harness.roster.status = 204
+                await harness.roster.until(lambda: logs.counters["reports_accepted"] > 2 or None)
                 await slow.until(lambda: slow.heard)
                 self.assertEqual([said["event"] for said in slow.heard], ["hello"])
                 slow.up.set()
--- a/tests/test_start_file.py
+++ b/tests/test_start_file.py
@@ -1,4 +1,4 @@
-"""Start files of other sites and spoilt ones, addresses in use, reloads and signals out of turn."""
+"""Start files of other deployments, invalid ones, addresses in use, reloads and early signals."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from click.testing import CliRunner
 
 from examples.fakes import Processor, Roster
-from tests.app_server import Server, actions, place, settings, told, until
+from tests.app_server import Server, actions, running_server, settings, start_file_with, until
 from thymeyoke.__main__ import main
 from thymeyoke.configuration import start_file
 from thymeyoke.runtime.logs import counters
@@ -29,11 +29,11 @@
 
 
 def changed(path: str, value: Any) -> dict[str, Any]:
-    """The toy's start file with one field changed, or without it."""
-    given: Any = told()
-    *way, last = path.split(".")
+    """The start file of the toy deployment with one field changed or removed."""
+    given: Any = start_file_with()
+    *parents, last = path.split(".")
     at = given
-    for part in way:
+    for part in parents:
         at = at[int(part) if isinstance(at, list) else part]
     if value is ABSENT:
         del at[last]
@@ -42,10 +42,11 @@
     return given
 
 
-class StartFiles(unittest.TestCase):
-    def test_what_cannot_be_used_is_one_error_that_names_file_and_field(self) -> None:
-        """Once a port past the last, no class or a text for a number was taken, and ended or stalled the
-        server later; what was refused named no field, and an unknown word counted as a missing field."""
+class StartFileTest(unittest.TestCase):
+    def test_invalid_value_is_one_error_with_file_and_field(self) -> None:
+        """Invalid ports, empty class lists and strings for numbers used to be accepted and broke the server
+        later; errors named no field, and unknown words were reported as missing fields.
+        """
         settings, family, first = "settings", "settings.family_info", "settings.request_classes.0"
         cases = [
             ("listen", "127.0.0.1:65536"), ("listen", ":4100"), ("listen", 7), ("listen", "127.0.0.1:-4"),
@@ -68,7 +69,7 @@
                     self.assertRegex(ended.output, rf"\AError: start file {path} .*\b{last}\b.*\n\Z")
                     self.assertEqual((ended.exit_code, type(ended.exception)), (1, SystemExit))
 
-    def test_what_is_not_told_is_no_other_sites_figure(self) -> None:
+    def test_defaults_of_absent_fields(self) -> None:
         cases: list[tuple[str, Any, Callable[[dict[str, Any]], Any], Any]] = [
             ("settings.tenants", None, lambda given: given.tenants, ()),
             ("settings.caps", ABSENT, lambda given: given.clients.max_retry_after, 0.0),
@@ -104,24 +105,26 @@
             with self.subTest(field), mock.patch("resource.getrlimit", limit):
                 self.assertEqual(start_file.read_server_settings(changed(field, None)).max_descriptors, 300)
         memory = [
-            start_file.read_server_settings(changed("limits.memory_mb", told)).memory_limit
-            for told in (64, None)
+            start_file.read_server_settings(changed("limits.memory_mb", megabytes)).memory_limit
+            for megabytes in (64, None)
         ]
         self.assertEqual(memory, [64 << 20, math.inf])
         none_below = changed("settings.family_info.below", "silent") | {"db": None}
         self.assertIsNone(start_file.read_server_settings(none_below).dependency)
 
-    def test_without_tick_and_slack_the_beat_does_not_spin(self) -> None:
-        """Once the first beat divided by zero, and each was due at the moment of the one before."""
+    def test_controller_interval_without_tick_and_slack(self) -> None:
+        """The first interval used to divide by zero, and each was due at the time of the previous one."""
         server = Server(terms={"answer_slack": 0.0}, machine={"tick": 0.0})
-        server.settle()
-        self.assertGreaterEqual(min(did.span for did in server.beat() if type(did) is actions.SetTimer), 0.01)
+        server.take_actions()
+        self.assertGreaterEqual(
+            min(action.span for action in server.expire_timer() if type(action) is actions.SetTimer), 0.01
+        )
 
 
-class Reloads(unittest.IsolatedAsyncioTestCase):
-    async def test_a_bad_file_changes_nothing_and_ends_nothing(self) -> None:
-        """Once every error but `BadStart` ended the server, and a port out of range reached its actors."""
-        async with place(Processor(calls=0)) as here:
+class ReloadTest(unittest.IsolatedAsyncioTestCase):
+    async def test_invalid_file_changes_nothing(self) -> None:
+        """Any error but `StartFileError` used to end the server, and an invalid port reached its actors."""
+        async with running_server(Processor(calls=0)) as here:
             router, given = await here.router(), here.start
             bad = start_file.StartFileError("half written")
             for new in (bad, given | {"processor": "127.0.0.1:65536"}, given | {"db": ""}, OverflowError()):
@@ -137,58 +140,59 @@
                 self.assertIsNone((await router.answer(await router.ask("look")))[0])
             self.assertEqual((len(here.processor.streams), counters["actor_errors"]), (1, 0))
 
-    async def test_an_address_that_is_back_before_it_took_effect(self) -> None:
-        """The list's client hears of a new address when its report is over. Once two reloads within that, to
-        elsewhere and back, left it at the address between them."""
-        elsewhere = Roster()
-        async with place(roster=Roster(status=0)) as here:
-            await here.tasks.start(elsewhere.run)
-            await here.roster.until(lambda: here.roster.reports)  # sent, and not answered for 0.9 s
+    async def test_address_changed_back_before_it_took_effect(self) -> None:
+        """The registry's client applies a new address after its current report. Two reloads during a report,
+        to another address and back, used to leave it at the other one.
+        """
+        other_registry = Roster()
+        async with running_server(roster=Roster(status=0)) as here:
+            await here.tasks.start(other_registry.run)
+            await here.roster.until(lambda: here.roster.reports)  # sent, and unanswered for 0.9 s
             given = here.start
             with self.assertLogs("thymeyoke", "INFO") as lines:
-                for new in (given | {"naming": f"127.0.0.1:{elsewhere.port}"}, given):
+                for new in (given | {"naming": f"127.0.0.1:{other_registry.port}"}, given):
                     here.start, seen = new, len(lines.output)
                     os.kill(os.getpid(), signal.SIGHUP)
                     await until(lambda seen=seen: len(lines.output) > seen)
-            self.assertEqual(len(here.roster.reports), 1, "the first report was over before the reloads were")
+            self.assertEqual(len(here.roster.reports), 1, "the first report ended before the reloads")
             await here.roster.until(lambda: len(here.roster.reports) > 2)
-            self.assertLessEqual(len(elsewhere.reports), 1)  # on the way
+            self.assertLessEqual(len(other_registry.reports), 1)  # may have been sent in between
 
 
-class AddressInUse(unittest.TestCase):
-    """A real process whose address is still the one before it's."""
+class AddressInUseTest(unittest.TestCase):
+    """A real process whose address is still in use by its predecessor."""
 
     @contextmanager
-    def waiting(self, stop_ms: int) -> Iterator[tuple[subprocess.Popen[str], socket.socket]]:
-        with socket.create_server(("127.0.0.1", 0)) as before, tempfile.TemporaryDirectory() as folder:
+    def waiting_server(self, stop_ms: int) -> Iterator[tuple[subprocess.Popen[str], socket.socket]]:
+        with socket.create_server(("127.0.0.1", 0)) as predecessor, tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "start.json"
-            listen = f"127.0.0.1:{before.getsockname()[1]}"
-            path.write_bytes(orjson.dumps(told(listen=listen, stop_ms=stop_ms)))
+            listen = f"127.0.0.1:{predecessor.getsockname()[1]}"
+            path.write_bytes(orjson.dumps(start_file_with(listen=listen, stop_ms=stop_ms)))
             command = [sys.executable, "-O", "-m", "thymeyoke", "serve", "--config", str(path)]
             with subprocess.Popen(command, stderr=subprocess.PIPE, text=True) as process:
                 try:
                     assert process.stderr is not None
                     self.assertIn("address_in_use", process.stderr.readline())
-                    yield process, before
+                    yield process, predecessor
                 finally:
                     process.kill()
 
-    def test_it_is_waited_for_and_taken(self) -> None:
-        with self.waiting(60_000) as (process, before):
-            before.close()
+    def test_server_binds_once_the_address_is_free(self) -> None:
+        with self.waiting_server(60_000) as (process, predecessor):
+            predecessor.close()
             assert process.stderr is not None
             self.assertIn("event=listening", process.stderr.readline())
 
-    def test_a_notice_meanwhile_ends_it_at_once(self) -> None:
-        with self.waiting(60_000) as (process, _):
+    def test_shutdown_notice_ends_the_wait(self) -> None:
+        with self.waiting_server(60_000) as (process, _):
             process.send_signal(signal.SIGHUP)
             process.send_signal(signal.SIGTERM)
             lines = process.communicate(timeout=60)[1]
             self.assertEqual((process.returncode, lines.count("\n")), (0, 1), lines)
             self.assertIn("event=stopped", lines)
 
-    def test_past_the_stop_of_who_was_there_it_is_one_error(self) -> None:
-        with self.waiting(100) as (process, _):
+    def test_wait_ends_with_one_error_after_the_stop_timeout(self) -> None:
+        with self.waiting_server(100) as (process, _):
             lines = process.communicate(timeout=60)[1]
             self.assertEqual((process.returncode, lines.count("\n")), (1, 1), lines)
             self.assertRegex(lines, r"^Error: cannot listen on 127.0.0.1:\d+: .*in use")
--- a/thymeyoke/__init__.py
+++ b/thymeyoke/__init__.py
@@ -1,3 +1,3 @@
-"""thymeyoke: decides, inside each app server of a fleet, what it takes, runs and turns away."""
+"""thymeyoke: decides, inside each app server of a fleet, which requests it admits, runs and rejects."""
 
 VERSION = "0.1.0"
--- a/thymeyoke/__main__.py
+++ b/thymeyoke/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m thymeyoke`: the command line, with signals held back until a server can handle them."""
+"""`python -m thymeyoke`: the command line, with signals blocked until a server can handle them."""
 
 from __future__ import annotations
 
--- a/thymeyoke/admission/actions.py
+++ b/thymeyoke/admission/actions.py
@@ -1,4 +1,4 @@
-"""What an `AdmissionController` asks its host to do. An action on a request names it by its id."""
+"""Outputs of admission control: what the host has to do. Actions refer to requests by id."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
     """Final answer: the request was rejected and never ran."""
 
     id: Any
-    is_terminal: bool  # another server would reject it as well
+    is_terminal: bool  # other servers would reject it as well
     retry_after: float  # seconds; 0 for no advice
 
 
 class Fail(NamedTuple):
-    """Final answer: an error that promises nothing."""
+    """Final answer: an error; the request may or may not have run."""
 
     id: Any
 
@@ -32,13 +32,13 @@
 
 
 class ReuseResult(NamedTuple):
-    """Answer a retry with the result of the request that it repeats."""
+    """Answer a request with the result of the request that it repeats."""
 
     id: Any
 
 
 class CallDependency(NamedTuple):
-    """Make the dependency call that a request waits for; abandon it at `deadline`, a moment of the clock."""
+    """Send the dependency call that a request waits for; abandon it at `deadline` (clock time, seconds)."""
 
     id: Any
     deadline: float
@@ -51,14 +51,14 @@
 
 
 class RetainKey(NamedTuple):
-    """Retain a request's idempotency key, or renew it, for `span` seconds."""
+    """Retain a request's idempotency key for `span` seconds from now."""
 
     id: Any
     span: float
 
 
 class ReleaseKey(NamedTuple):
-    """Drop a retained idempotency key."""
+    """Release a retained idempotency key."""
 
     id: Any
 
@@ -70,20 +70,20 @@
 
 
 class ReportHealth(NamedTuple):
-    """Answer health checks with this from now on."""
+    """Report this state to health checks from now on."""
 
-    from_store: bool
+    from_store: bool  # answer from this value alone, instead of doing work for each check
     is_healthy: bool
 
 
 class SetIdleTimeout(NamedTuple):
-    """Close connections that were unused for `span` seconds."""
+    """Close client connections that have been idle for `span` seconds."""
 
     span: float
 
 
 class SetTimer(NamedTuple):
-    """Report `timer_expired` with this mark after `span` seconds."""
+    """Call `timer_expired` with this mark after `span` seconds."""
 
     mark: int
     span: float
--- a/thymeyoke/admission/connections.py
+++ b/thymeyoke/admission/connections.py
@@ -1,16 +1,16 @@
-"""How long an idle client connection is kept."""
+"""The idle timeout of client connections."""
 
 from __future__ import annotations
 
-PERSISTENT_CONNECTIONS_PER_CORE = 12  # connections that are kept for as long as clients like
-TIMEOUT_STEP = 1 / 20  # of the clients' own timeout: the steps of the timeout, and the least of it
+PERSISTENT_CONNECTIONS_PER_CORE = 12  # up to this number the clients' own idle timeout applies
+TIMEOUT_STEP_SHARE = 1 / 20  # of the clients' own timeout: granularity and minimum of the timeout
 
 
 class IdleTimeout:
-    """Cuts the idle timeout while the server is saturated.
+    """Shortens the idle timeout while the server is saturated.
 
-    Each connection takes a part of the cores, and past an unknown number new clients get none. A
-    connection that is closed costs a handshake when its client comes back.
+    Open connections use processor time, and above an unknown number new clients are refused. Closing one
+    costs a handshake when its client reconnects.
     """
 
     def __init__(self, client_timeout: float, cores: float) -> None:
@@ -20,8 +20,8 @@
         self.share = 1.0
 
     def next_timeout(self, span: float, open_connections: float, saturation: float) -> float:
-        """The timeout in seconds, after `span` seconds at this saturation; 1 is the set point."""
+        """The timeout in seconds, after `span` seconds at this saturation; it shrinks above 1."""
         self.share *= 1 + span * max(-1.0, min(1.0, saturation - 1))
         least_share = (self.persistent_connections / max(1.0, open_connections)) ** 2
-        self.share = min(1.0, max(TIMEOUT_STEP, self.share, least_share))
-        return self.client_timeout * TIMEOUT_STEP * round(self.share / TIMEOUT_STEP)
+        self.share = min(1.0, max(TIMEOUT_STEP_SHARE, self.share, least_share))
+        return self.client_timeout * TIMEOUT_STEP_SHARE * round(self.share / TIMEOUT_STEP_SHARE)
--- a/thymeyoke/admission/controller.py
+++ b/thymeyoke/admission/controller.py
@@ -1,8 +1,9 @@
 """`AdmissionController`: the decisions of one app server, from its start to its stop.
 
-Each event is reported by a method; when a batch of them is in, `next_actions` returns what to do. Events only
-change desired states and statistics. `next_actions` picks what should run or call; the `Reconciler` turns the
-differences between desired and present states into actions.
+The host reports each event with a method call and, after each batch of events, carries out the actions that
+`next_actions` returns. Events only change desired states and statistics. `next_actions` selects the requests
+that should run or call the dependency; the `Reconciler` turns differences between desired and current states
+into actions.
 """
 
 from __future__ import annotations
@@ -28,27 +29,29 @@
 from thymeyoke.admission.settings import AdmissionSettings, Idempotency, RequestClass
 from thymeyoke.admission.shutdown import ShutdownSchedule
 
-CALL_ATTEMPTS = 4  # of one dependency call, where it may be retried
-CALL_BACKOFF = 0.1  # of the latency objective: the first pause, which doubles
-SATURATED_WAIT = 0.5  # of the usual objective: the wait at which clients are notified to back off
-CONNECTION_WAIT = 0.75  # of the usual objective: the wait at which idle connections are cut
-CONNECTION_READS = 2  # reads and handshakes a core, likewise
-TICKS_PER_INTERVAL = 8
-LEAST_INTERVAL = 0.01  # seconds between two timers
-DEADLINE_LEAD = 1.5  # intervals: what is due before the timer after the next is answered now
-TIMER = 0  # the mark of the only timer
+MAX_CALL_ATTEMPTS = 4  # for one dependency call that may be retried
+CALL_BACKOFF_SHARE = 0.1  # of the latency objective: the first retry backoff, which doubles
+SATURATED_WAIT_SHARE = 0.5  # of the mean objective: the wait from which clients are told to back off
+IDLE_CUT_WAIT_SHARE = 0.75  # of the mean objective: the wait from which the idle timeout is cut
+IDLE_CUT_READS_PER_CORE = 2  # reads and handshakes in progress from which the idle timeout is cut
+MIN_INTERVAL_TICKS = 8  # shortest timer interval, in ticks of the machine
+MIN_INTERVAL_SECONDS = 0.01  # shortest timer interval
+DEADLINE_LEAD_INTERVALS = 1.5  # answers due within this time are sent now, as the next timer may be late
+TIMER_MARK = 0  # identifies the controller's only timer
 
 
 class AdmissionController:
-    """Joins the parts of admission control; one for each life of an app server."""
+    """Admission control of one app server process; combines the parts of this package."""
 
     def __init__(self, now: float, settings: AdmissionSettings) -> None:
         machine, classes = settings.machine, settings.request_classes
         self.settings, self.classes = settings, classes
         self.random = Random(settings.seed)
-        self.interval = max(settings.terms.answer_slack, TICKS_PER_INTERVAL * machine.tick, LEAST_INTERVAL)
+        self.interval = max(
+            settings.terms.answer_slack, MIN_INTERVAL_TICKS * machine.tick, MIN_INTERVAL_SECONDS
+        )
         objectives = [request_class.latency_objective for request_class in classes]
-        self.usual_objective, self.least_objective = sum(objectives) / len(objectives), min(objectives)
+        self.mean_objective, self.min_objective = sum(objectives) / len(objectives), min(objectives)
         self.run_times = RunTimeEstimator(len(classes))
         self.queue: FairQueue[PendingRequest] = FairQueue()
         self.concurrency = ConcurrencyLimit(machine.cores, now, settings.overload)
@@ -65,17 +68,18 @@
         self.signal = BackpressureSignal(settings.clients.signal, settings.clients.client_count)
         self.idle_timeout = IdleTimeout(settings.clients.idle_timeout, machine.cores)
         self.shutdown = ShutdownSchedule(self.interval)
-        self.deadlines: list[tuple[float, Any]] = []  # a heap; emptied as these moments pass
+        self.deadlines: list[tuple[float, Any]] = []  # heap of (deadline, id); passed ones are removed
         self.published: list[Action] = [actions.SetIdleTimeout(settings.clients.idle_timeout)]
         self._emit(actions.ReportHealth(from_store=True, is_healthy=True))
-        self._emit(actions.SetTimer(TIMER, self.interval))
+        self._emit(actions.SetTimer(TIMER_MARK, self.interval))
 
     # Events.
 
     def submit(self, now: float, request: Request) -> None:
-        """A request was read."""
+        """Decide on a request that was read."""
         pending = self._register(now, request)
-        original = self.requests.get(request.original_id)  # of one batch, it may be rejected without a run
+        # An original of the same batch may already be rejected: the repeat is then decided on by itself.
+        original = self.requests.get(request.original_id)
         is_original_rejected = original is not None and original.desired is DesiredState.REJECT
         is_repeat = request.original_id is not None and pending.retention_span
         if is_repeat and not is_original_rejected:
@@ -93,7 +97,7 @@
         if not misses:
             return self._enqueue(now, pending)
         if not self.running.total:
-            self.run_times.fade(request.class_index)
+            self.run_times.decay(request.class_index)
         self.reconciler.set_desired(pending, DesiredState.REJECT)
 
     def _register(self, now: float, request: Request) -> PendingRequest:
@@ -109,7 +113,7 @@
         return pending
 
     def _retention_span(self, request: Request, request_class: RequestClass) -> float:
-        """How long the request's key is retained; 0 where its result may answer no other."""
+        """Seconds for which the request's key is retained; 0 if its result may not answer other requests."""
         freshness = self.settings.clients.result_freshness
         if request_class.idempotency is Idempotency.WITH_KEY:
             return request_class.idempotency_window
@@ -119,10 +123,11 @@
         return 0.0
 
     def _is_retry_from_elsewhere(self, request: Request, misses: bool, wait: float) -> bool:
-        """Whether a rejection of this request tells of overload at other servers as well.
+        """Whether this request suggests that other servers are overloaded as well.
 
-        Where retries are not marked, a request that misses its objective because of a queue does; one that is
-        too long for this machine though nothing waits may be admitted by a faster one.
+        Where clients do not mark retries, a request that would miss its objective because of queueing counts
+        as one. A request that is too long for this machine without any queueing does not: a faster server
+        might admit it.
         """
         if self.settings.clients.marks_retries:
             return request.is_retry
@@ -135,12 +140,12 @@
         self.reconciler.set_desired(pending, DesiredState.UNCHANGED)
 
     def is_reusing_result(self, id: Any) -> bool:
-        """Whether a request is to be answered with the result of the one that it repeats."""
+        """Whether a request will be answered with the result of the request that it repeats."""
         pending = self.requests.get(id)
         return pending is not None and pending.desired is DesiredState.REUSE_RESULT
 
     def run_ended(self, now: float, id: Any, outcome: Outcome) -> None:
-        """A run, or the reuse of a result, is over."""
+        """Note that a run, or the reuse of a result, has ended."""
         if pending := self.requests.get(id):
             state = pending.state
             self.reconciler.transition(now, pending, RequestState.DONE)
@@ -151,7 +156,7 @@
                 )  # fmt: skip
 
     def waits_for_dependency(self, now: float, id: Any) -> None:
-        """A run cannot continue without a dependency call."""
+        """Note that a run needs a dependency call to continue."""
         if pending := self.requests.get(id):
             self.reconciler.transition(now, pending, RequestState.WAITING_FOR_CALL)
             pending.attempts, pending.retry_call_at = 0, 0.0
@@ -159,7 +164,7 @@
             self.dependency.waiting.append(pending)
 
     def call_ended(self, now: float, id: Any, outcome: Outcome, took: float) -> None:
-        """A dependency call is over, after `took` seconds."""
+        """Note that a dependency call ended after `took` seconds."""
         pending = self.requests.get(id)
         if pending is None or pending.state is not RequestState.CALLING:
             return
@@ -177,8 +182,8 @@
     def _call_failed(self, now: float, pending: PendingRequest, outcome: Outcome) -> None:
         request_class = pending.request_class
         may_retry = request_class.idempotency is Idempotency.IDEMPOTENT or outcome in PROVES_NOT_RUN
-        if may_retry and pending.attempts < CALL_ATTEMPTS:
-            backoff = CALL_BACKOFF * request_class.latency_objective * 2 ** (pending.attempts - 1)
+        if may_retry and pending.attempts < MAX_CALL_ATTEMPTS:
+            backoff = CALL_BACKOFF_SHARE * request_class.latency_objective * 2 ** (pending.attempts - 1)
             pending.retry_call_at = now + backoff * self.random.uniform(0.5, 1)
             self.dependency.waiting.append(pending)
         elif request_class.degraded_value_share > 0:
@@ -187,25 +192,29 @@
             self.reconciler.set_desired(pending, DesiredState.FAIL)
 
     def client_gone(self, now: float, id: Any) -> None:
-        """Nobody waits for the answer: what is not on the cores has ended, the rest owes no answer."""
+        """Note that the client abandoned a request.
+
+        If it is running, it keeps its core until the run ends, but needs no answer.
+        """
         if pending := self.requests.get(id):
             if self.reconciler.can_stop(pending):
                 self._emit(actions.Stop(id))
             self.reconciler.answered(now, pending)
 
     def shutdown_announced(self, now: float, time_left: float) -> None:
-        """The process is stopped in `time_left` seconds."""
+        """Start to drain: the process will be stopped in `time_left` seconds."""
         self.shutdown.begin(now, time_left, self.settings.terms.drain_grace)
         self._emit(actions.ReportHealth(from_store=True, is_healthy=False))
 
     def timer_expired(self, now: float, mark: int, gauges: tuple[float, ...]) -> None:
-        """The timer has expired; `gauges` are in the order of the machine's settings."""
+        """Do the periodic work; `gauges` are readings in the order of the machine's settings."""
         readings = Gauges.from_readings(self.settings.machine.gauges, gauges)
         span = now - self.concurrency.adapted_at
         runnable = 0 if readings.runnable is None else readings.runnable
         running = self.running.total
         self.concurrency.adapt(now, readings.busy, runnable, running, bool(self.queue))
-        # Where runs alone want the cores nothing is read: a server that clients left must not look full.
+        # If only runs use the cores, no request is being read: clear the queueing delay, so that a server
+        # without new requests does not look saturated.
         being_read = float("inf") if readings.runnable is None else readings.runnable - running
         self.arrivals.queueing_delay *= being_read > 0
         self.memory.expire_keys(now)
@@ -218,7 +227,7 @@
     # Decisions.
 
     def next_actions(self, now: float) -> list[Action]:
-        """Decide what should run and call now; what to do about it, and about the events before."""
+        """Decide what should run and call now; returns all actions since the previous call."""
         self.reconciler.reconcile_changed(now)
         self._shed_memory(now)
         self._start_runs(now)
@@ -229,7 +238,7 @@
         self.reconciler.actions.append(action)
 
     def _start_runs(self, now: float) -> None:
-        """Start queued requests while the limit, the ceiling and the memory allow it."""
+        """Start queued requests while the concurrency limit, its ceiling and the memory allow it."""
         limit, ceiling = self.concurrency.limit, self.concurrency.ceiling(now)
         while self.running.total + 1 <= limit:
             pending = self.queue.next(self.running.by_owner, self.concurrency.quota)
@@ -243,7 +252,7 @@
             self.reconciler.reconcile(now, pending)
 
     def _start_calls(self, now: float) -> None:
-        """Let dependency calls go out: oldest first, or by what they are worth while calls are slow."""
+        """Send waiting dependency calls: oldest first or, while calls are slow, most valuable first."""
         dependency = self.dependency
         dependency.window.update(now)
         is_slow, waiting, dependency.waiting = dependency.is_slow, dependency.waiting, []
@@ -256,9 +265,9 @@
             self.reconciler.reconcile(now, pending)
 
     def _desired_at_call(self, now: float, pending: PendingRequest) -> DesiredState:
-        """What a run that waits for its call should do.
+        """The desired state of a run that waits for its dependency call.
 
-        One whose call can no longer meet the objective continues without it, or fails.
+        A run whose call can no longer return within the objective continues without it or fails.
         """
         dependency = self.dependency
         returns_at = now + dependency.predicted_wait(len(dependency.waiting))
@@ -272,7 +281,7 @@
         return pending.desired
 
     def _shed_memory(self, now: float) -> None:
-        """With memory short, reject queued requests: the least priority weight first, of it the youngest."""
+        """If memory is short, reject queued requests: lowest priority weight first, then youngest first."""
         missing = -self.memory.available()
         if not missing > 0:
             return
@@ -285,8 +294,8 @@
                 self.reconciler.reconcile(now, pending)
 
     def _answer_expired(self, now: float) -> None:
-        """Answer what is due before long, what is stale, and all that is left before the stop."""
-        while self.deadlines and self.deadlines[0][0] <= now + DEADLINE_LEAD * self.interval:
+        """Give up requests that are due soon or stale and, shortly before the stop, all that are left."""
+        while self.deadlines and self.deadlines[0][0] <= now + DEADLINE_LEAD_INTERVALS * self.interval:
             self._give_up(heappop(self.deadlines)[1])
         answers_all = self.shutdown.answers_all(now)
         for pending in list(self.requests.values()):
@@ -294,7 +303,7 @@
                 self._give_up(pending.id)
 
     def _give_up(self, id: Any) -> None:
-        """Its answer is due: what never ran is rejected, the rest fails."""
+        """Desire the final answer of a request: a rejection if it never ran, else a failure."""
         pending = self.requests.get(id)
         if pending is None or pending.is_answered:
             return
@@ -307,18 +316,18 @@
             )
 
     def _publish(self, now: float, span: float, being_read: float, open_connections: float) -> None:
-        """Publish what has changed for the clients, and set the timer again."""
+        """Publish changed values for clients, and set the timer again."""
         wait = self._queueing_delay(now)
-        # Where some must miss, oldest first spends the cores on whoever asked first, and short objectives are
-        # never met behind long ones.
-        self.queue.is_saturated = wait > SATURATED_WAIT * self.least_objective
+        # When some requests must miss their objectives, oldest first would serve only the earliest arrivals,
+        # and short objectives would never be met behind long ones.
+        self.queue.is_saturated = wait > SATURATED_WAIT_SHARE * self.min_objective
         run_times = self.run_times.on_core_means()
-        slots = self.concurrency.limit * self.usual_objective * len(run_times)
+        slots = self.concurrency.limit * self.mean_objective * len(run_times)
         capacity = slots / max(sum(run_times), self.interval)
-        value = self.signal.next_value(span, wait / (SATURATED_WAIT * self.usual_objective), capacity)
+        value = self.signal.next_value(span, wait / (SATURATED_WAIT_SHARE * self.mean_objective), capacity)
         saturation = max(
-            wait / (CONNECTION_WAIT * self.usual_objective),
-            being_read / (CONNECTION_READS * self.settings.machine.cores),
+            wait / (IDLE_CUT_WAIT_SHARE * self.mean_objective),
+            being_read / (IDLE_CUT_READS_PER_CORE * self.settings.machine.cores),
         )
         timeout = self.idle_timeout.next_timeout(span, open_connections, saturation)
         published: list[Action] = [actions.SetIdleTimeout(timeout)]
@@ -327,22 +336,22 @@
         for action in published:
             if action not in self.published:
                 self._emit(action)
-        self._emit(actions.SetTimer(TIMER, self.interval))
+        self._emit(actions.SetTimer(TIMER_MARK, self.interval))
         self.published = published
 
     def _queueing_delay(self, now: float) -> float:
-        """What a request waits here, whether it was read or not.
+        """Seconds that a new request waits, counting the time before it is read.
 
-        A server that reads too late queues nothing, yet is not idle.
+        A server that falls behind with reading has an empty queue, but is not idle.
         """
         return self.arrivals.queueing_delay + self.predictor.wait(now, self.reconciler.running_requests())
 
     def _reject_advice(self, now: float) -> RejectAdvice:
-        """What a rejected client should do: stay away until the wait is back at the set point.
+        """Advise a rejected client to stay away until the wait is back at the saturation threshold.
 
-        In a retry storm it should go nowhere else, as other servers reject as well.
+        In a retry storm it should not try other servers, as they reject requests as well.
         """
         longest = self.settings.clients.max_retry_after
-        excess = self._queueing_delay(now) - SATURATED_WAIT * self.usual_objective
+        excess = self._queueing_delay(now) - SATURATED_WAIT_SHARE * self.mean_objective
         retry_after = longest if self.shutdown.is_draining else min(longest, excess)
         return RejectAdvice(self.arrivals.is_retry_storm, max(0.0, retry_after))
--- a/thymeyoke/admission/events.py
+++ b/thymeyoke/admission/events.py
@@ -1,4 +1,4 @@
-"""What happens to an app server, as values that the methods of `AdmissionController` take."""
+"""Inputs of admission control: the values that the methods of `AdmissionController` take."""
 
 from __future__ import annotations
 
@@ -15,34 +15,34 @@
     REJECTED = "rejected"  # shed by the dependency: it did not run
     TIMEOUT = "timeout"
     UNREACHABLE = "unreachable"  # never sent: it did not run
-    CONNECTION_LOST = "connection_lost"  # nothing is known of it
+    CONNECTION_LOST = "connection_lost"  # it may or may not have run
     STOPPED = "stopped"
-    NOT_STARTED = "not_started"  # the command came too late: it did not run
+    NOT_STARTED = "not_started"  # the command was too late: it did not run
 
 
 PROVES_NOT_RUN = frozenset((Outcome.REJECTED, Outcome.UNREACHABLE, Outcome.NOT_STARTED))
 
 
 class Request(NamedTuple):
-    """A request that was read."""
+    """A request that was read from a client."""
 
     id: Any
     class_index: int
     tenant: int
     size: float  # kilobytes while it is queued
-    subject: str | None  # what it reads, where it may share a result with others
-    work_hint: float  # expected work in seconds of a standard core; 0 where unknown
+    subject: str | None  # what it reads: reads of one subject may share a result
+    work_hint: float  # expected work in seconds of a standard core; 0 if unknown
     is_retry: bool  # marked as a retry or a hedged request
     is_write: bool
     original_id: Any  # id of the retained request that this one repeats, or None
     priority: float
-    time_left: float  # until the client abandons this attempt; 0 where unknown
+    time_left: float  # seconds until the client abandons this attempt; 0 if unknown
     client: int
-    queueing_delay: float  # from the socket to here
+    queueing_delay: float  # seconds between arrival at the socket and this event
 
 
 class Gauges(NamedTuple):
-    """Readings of the machine; None where it has no such gauge."""
+    """Readings of the machine's gauges; None for a gauge that the machine lacks."""
 
     busy: float | None = None  # share of the cores that is busy
     runnable: float | None = None  # threads that run or wait for a core
@@ -50,6 +50,6 @@
 
     @classmethod
     def from_readings(cls, names: Iterable[str], values: Iterable[float]) -> Gauges:
-        """Pick the known gauges out of readings that stand in the order of `names`."""
+        """Select the known gauges from readings in the order of `names`."""
         readings = dict(zip(names, values, strict=False))
         return cls(readings.get("busy"), readings.get("runnable"), readings.get("connections"))
--- a/thymeyoke/admission/fair_queue.py
+++ b/thymeyoke/admission/fair_queue.py
@@ -1,4 +1,4 @@
-"""The queue of requests that wait for a slot: fair between tenants or clients, oldest first."""
+"""The queue of requests that wait to run: fair between tenants or clients, oldest first."""
 
 from __future__ import annotations
 
@@ -8,40 +8,40 @@
 
 
 class QueueKey(NamedTuple):
-    """The line in which an entry waits."""
+    """Identifies the line (subqueue) in which an entry waits."""
 
-    owner: int  # the tenant or client whose quota it counts against
+    owner: int  # the tenant or client whose quota the entry counts against
     priority_weight: float
 
 
 class QueueEntry(Protocol):
-    """What the queue reads of its entries, and the one mark that it sets."""
+    """Attributes that the queue reads from its entries; it sets `is_queued`."""
 
     is_queued: bool
 
     @property
     def queue_key(self) -> QueueKey:
-        """The line in which it waits."""
+        """The line in which the entry waits."""
 
     @property
     def expected_run_time(self) -> float:
-        """Seconds that it is expected to run."""
+        """Expected run time in seconds."""
 
     @property
     def arrived_at(self) -> float:
-        """Seconds of the clock."""
+        """Time of arrival, in seconds."""
 
 
 Entry = TypeVar("Entry", bound=QueueEntry)
 
 
 class FairQueue(Generic[Entry]):
-    """Entries that wait, in a line for each owner and priority weight. A line goes when it is empty."""
+    """Waiting entries, in one line for each owner and priority weight. Empty lines are removed."""
 
     def __init__(self) -> None:
         self.lines: dict[QueueKey, deque[Entry]] = {}
-        self.work: dict[QueueKey, float] = {}  # expected run time that waits, by line
-        self.is_saturated = False  # some must miss their objectives: higher priority weights go first
+        self.work: dict[QueueKey, float] = {}  # sum of the expected run times of each line, in seconds
+        self.is_saturated = False  # some entries must miss their objectives: serve by priority weight
 
     def __bool__(self) -> bool:
         return bool(self.lines)
@@ -54,7 +54,7 @@
         self.work[key] = self.work.get(key, 0.0) + entry.expected_run_time
 
     def remove(self, entry: Entry) -> None:
-        """Take an entry out, from wherever it stands."""
+        """Remove an entry from its line, at any position."""
         entry.is_queued = False
         key = entry.queue_key
         self.lines[key].remove(entry)
@@ -63,7 +63,7 @@
             del self.lines[key], self.work[key]
 
     def work_ahead(self, priority_weight: float = 0.0, owner: int | None = None) -> float:
-        """Expected run time ahead of a new entry of this weight; with `owner`, of that one alone."""
+        """Expected run time ahead of a new entry of this weight; with `owner`, only that owner's."""
         least_weight = priority_weight if self.is_saturated else 0.0
         return sum(
             work
@@ -72,9 +72,9 @@
         )
 
     def next(self, running: Mapping[int, int], quota: float) -> Entry | None:
-        """The oldest entry of an owner within its quota; where there is none, the slot is lent to the oldest.
+        """The oldest entry whose owner is within its quota, or else the oldest of all; None if empty.
 
-        `running`: entries that run, by owner.
+        `running`: number of running entries by owner.
         """
 
         def rank(entry: Entry) -> tuple[bool, float, float]:
--- a/thymeyoke/admission/memory.py
+++ b/thymeyoke/admission/memory.py
@@ -1,4 +1,4 @@
-"""The memory that requests and retained idempotency keys take."""
+"""Accounting of the memory used by requests and retained idempotency keys."""
 
 from __future__ import annotations
 
@@ -6,26 +6,26 @@
 
 from thymeyoke.admission.settings import Machine
 
-USABLE_SHARE = 0.95  # of the memory: the rest is for what is already on its way
+USABLE_MEMORY_SHARE = 0.95  # of the memory; the rest is for requests that have been sent but not read yet
 
 
 class MemoryAccount:
-    """Kilobytes of requests in flight, and the keys that are retained. Keys go as their windows pass."""
+    """Memory of requests in flight and of retained keys. Keys are removed when their windows end."""
 
     def __init__(self, machine: Machine) -> None:
         self.machine = machine
-        self.reserved = 0.0  # by requests
-        self.key_expiry: dict[Any, float] = {}  # by request id
+        self.reserved = 0.0  # kilobytes of requests in flight
+        self.key_expiry: dict[Any, float] = {}  # end of each key's window, by request id
 
     def available(self) -> float:
-        """Kilobytes that are free; negative where memory is short."""
+        """Free kilobytes; negative if memory is short."""
         keys = len(self.key_expiry) * self.machine.retained_key_size
-        return self.machine.memory * USABLE_SHARE - self.reserved - keys
+        return self.machine.memory * USABLE_MEMORY_SHARE - self.reserved - keys
 
     def growth_on_run(self, queued_size: float) -> float:
-        """Kilobytes that a queued request takes besides once it runs."""
+        """Additional kilobytes that a queued request needs once it runs."""
         return queued_size * (self.machine.running_memory_factor - 1)
 
     def expire_keys(self, now: float) -> None:
-        """Drop the keys whose window has passed."""
+        """Remove keys whose window has ended."""
         self.key_expiry = {id: expiry for id, expiry in self.key_expiry.items() if expiry >= now}
--- a/thymeyoke/admission/prediction.py
+++ b/thymeyoke/admission/prediction.py
@@ -1,4 +1,4 @@
-"""Predictions of how long a request waits, and whether it meets its objective."""
+"""Predictions of how long a request waits, and whether it meets its latency objective."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class WaitPredictor:
-    """Predicts waits from the queue, the concurrency limit, what runs and the dependency."""
+    """Predicts waits from the queue, the concurrency limit, the running requests and the dependency."""
 
     def __init__(
         self, queue: FairQueue[PendingRequest], concurrency: ConcurrencyLimit, running: RunningRequests,
@@ -23,14 +23,15 @@
     ) -> None:  # fmt: skip
         self.queue, self.concurrency, self.running = queue, concurrency, running
         self.dependency, self.arrivals = dependency, arrivals
-        self.max_waits: dict[float, float] = {}  # by priority weight, what its least patient class can wait
+        # By priority weight: the longest wait that the shortest objective allows.
+        self.max_waits: dict[float, float] = {}
 
     def wait(self, now: float, requests: Iterable[PendingRequest], key: QueueKey | None = None) -> float:
-        """Seconds that a new request waits for a slot.
+        """Seconds that a new request waits until it can run.
 
-        The work ahead over all slots, or that of its own line over its quota, whichever is less. What runs
-        counts half of its expected time or of its age: cores on which nothing ends have to look full.
-        `requests`: those that run, by any order that is always the same.
+        The smaller of the total work ahead divided by the limit and its owner's work ahead divided by the
+        quota. A running request counts half of the longer of its expected time and its time so far, so that
+        cores with runs that do not end count as busy. `requests`: the running ones, in a stable order.
         """
         limit = self.concurrency.limit
         if self.running.total + 1 <= limit and not self.queue:
@@ -45,15 +46,15 @@
         return (min(ahead, own_line) + sum(run_times) / 2) / limit
 
     def misses_objective(self, now: float, request: PendingRequest, wait: float) -> bool:
-        """Whether a new request would miss its objective; without history none does.
+        """Whether a new request would miss its objective; False without history.
 
-        What has to wait needs a margin for the error in its run time: rejected now it may be in time
-        elsewhere, and a late one with an idempotency key fails its retries.
+        A request that has to wait needs a margin for the error of its run time estimate: if it is rejected
+        now, another server may still answer it in time, and if it ends late, retries of its key fail too.
         """
         if not request.expected_run_time > 0:
             return False
         if wait > self.max_waits.get(request.priority_weight, wait):
-            return True  # else the classes with the longest objectives fill the queue
+            return True  # otherwise the classes with the longest objectives would fill the queue
         margin = min(wait, request.estimate.error)
         run_time = request.expected_run_time
         return now + wait + margin + run_time + self._off_core_time(request) > request.objective_at
@@ -63,10 +64,10 @@
         return now + request.expected_run_time + self._off_core_time(request) > request.objective_at
 
     def _off_core_time(self, request: PendingRequest) -> float:
-        """Expected time in dependency calls: the usual one, or while they are slow that of their queue.
+        """Expected seconds in dependency calls: the usual time or, while calls are slow, the predicted one.
 
-        Not without history: what is new would be rejected. A request that can be answered without its call
-        loses nothing by waiting for it.
+        Without history the predicted time is not used, as it would reject all requests of a new class. A
+        request that can be answered without its call counts no time for it while calls are slow.
         """
         estimate, request_class = request.estimate, request.request_class
         if not (estimate.on_core and request_class.calls_dependency and self.dependency.is_slow):
@@ -75,13 +76,13 @@
         return 0.0 if request_class.degraded_value_share else max(estimate.off_core, wait)
 
     def update_max_waits(self, classes: Iterable[RequestClass], run_times: RunTimeEstimator) -> None:
-        """Work out anew, by priority weight, the wait that its least patient class can stand."""
+        """Recompute the longest wait that meets the objectives of all classes of each priority weight."""
         self.max_waits = {}
         usual_times = self.arrivals.time_to_objective
         for request_class, mean, usual in zip(classes, run_times.means, usual_times, strict=True):
             if mean is None:
                 continue
             wait = usual - sum((mean.on_core, mean.off_core, mean.error))
-            if wait > 0:  # what this machine can do at all
+            if wait > 0:  # leaves out classes that this machine cannot serve in time even without a queue
                 weight = request_class.priority_weight
                 self.max_waits[weight] = min(wait, self.max_waits.get(weight, wait))
--- a/thymeyoke/admission/reconciler.py
+++ b/thymeyoke/admission/reconciler.py
@@ -1,4 +1,4 @@
-"""Requests in flight: their state transitions, what they hold, and the actions that follow."""
+"""State transitions of requests in flight, the resources that they hold, and the resulting actions."""
 
 from __future__ import annotations
 
@@ -15,26 +15,26 @@
 
 
 class RejectAdvice(NamedTuple):
-    """What a rejected client should do."""
+    """Advice for a rejected client."""
 
     is_terminal: bool  # another server would reject the request as well
     retry_after: float  # seconds
 
 
 class RunningRequests:
-    """How many requests are on the cores, in all and by tenant or client."""
+    """Counts of running requests, in total and by tenant or client."""
 
     def __init__(self) -> None:
         self.total = 0
-        self.by_owner: dict[int, int] = {}  # an owner goes at zero
+        self.by_owner: dict[int, int] = {}  # owners at zero are removed
 
     def add(self, owner: int) -> None:
-        """One more of this owner."""
+        """Count one more running request of an owner."""
         self.total += 1
         self.by_owner[owner] = self.by_owner.get(owner, 0) + 1
 
     def remove(self, owner: int) -> None:
-        """One less of this owner."""
+        """Count one running request less of an owner."""
         self.total -= 1
         self.by_owner[owner] -= 1
         if not self.by_owner[owner]:
@@ -42,48 +42,48 @@
 
 
 class Reconciler:
-    """Owns the requests in flight, and turns desired states into actions (`RECONCILERS`)."""
+    """Owns the requests in flight, and turns their desired states into actions."""
 
     def __init__(
         self, machine: Machine, interval: float, queue: FairQueue[PendingRequest], memory: MemoryAccount,
         window: CallWindow, reject_advice: Callable[[float], RejectAdvice],
     ) -> None:  # fmt: skip
-        """`interval`: seconds between two timers; answers are given this long before they are due."""
+        """`interval`: seconds between two timers; calls are abandoned this long before the deadline."""
         self.machine, self.interval = machine, interval
         self.queue, self.memory, self.window = queue, memory, window
         self.reject_advice = reject_advice
         self.running = RunningRequests()
-        self.requests: dict[Any, PendingRequest] = {}  # emptied by answers and ends of runs
-        self.changed: list[PendingRequest] = []  # with a new desired state; emptied by `take_actions`
-        self.actions: list[Action] = []  # emptied by `take_actions`
+        self.requests: dict[Any, PendingRequest] = {}  # by id, until they are answered and not running
+        self.changed: list[PendingRequest] = []  # with a new desired state; cleared by `take_actions`
+        self.actions: list[Action] = []  # cleared by `take_actions`
 
     def register(self, pending: PendingRequest) -> None:
-        """A new request is in flight, and holds its memory."""
+        """Add a new request and reserve its memory."""
         self.requests[pending.id] = pending
         self.memory.reserved += pending.memory
 
     def running_requests(self) -> Iterator[PendingRequest]:
-        """Those on the cores, in the order of their arrival."""
+        """The running requests, in order of arrival."""
         return (one for one in self.requests.values() if one.state is RequestState.RUNNING)
 
     def can_stop(self, pending: PendingRequest) -> bool:
-        """Whether its run can be stopped without harm.
+        """Whether a request is running and may be stopped.
 
-        One with an effect runs on, as its end answers retries.
+        A request that is not idempotent runs to its end, as its result answers retries.
         """
         can_halt = self.machine.stop_effect is not StopEffect.NONE
         is_running = pending.state is RequestState.RUNNING and can_halt
         return is_running and pending.request_class.idempotency is Idempotency.IDEMPOTENT
 
     def take_actions(self) -> list[Action]:
-        """The actions since the last time."""
+        """Return the actions since the previous call."""
         taken, self.actions, self.changed = self.actions, [], []
         return taken
 
     # Desired states.
 
     def set_desired(self, pending: PendingRequest, desired: DesiredState) -> None:
-        """Set what a request should do next; a final answer that is desired already stands."""
+        """Set a request's desired state, unless a final answer is already desired."""
         if pending.desired < DesiredState.REJECT:
             pending.desired = desired
             self.changed.append(pending)
@@ -94,22 +94,22 @@
             self.reconcile(now, pending)
 
     def reconcile(self, now: float, pending: PendingRequest) -> None:
-        """Turn a desired state, against the present one, into actions."""
+        """Turn the difference between a request's desired and current state into actions."""
         desired, pending.desired = pending.desired, DesiredState.UNCHANGED
         if pending.state is RequestState.DONE or pending.is_answered:
             return
         if desired <= DesiredState.RUN and pending.state is RequestState.QUEUED:
             self._retain_key(pending)
-        RECONCILERS[desired](self, now, pending)
+        RECONCILE_METHODS[desired](self, now, pending)
 
     def _retain_key(self, pending: PendingRequest) -> None:
-        """While it is queued: a retry of a queued request whose key is not retained comes unmarked."""
+        """Retain a queued request's key: without it a retry would not be recognized as one."""
         if pending.retention_span and not pending.is_key_retained:
             pending.is_key_retained = True
             self.actions.append(actions.RetainKey(pending.id, pending.retention_span))
 
     def _stay(self, now: float, pending: PendingRequest) -> None:
-        """Nothing to do."""
+        """Do nothing."""
 
     def _run(self, now: float, pending: PendingRequest) -> None:
         self.actions.append(actions.Run(pending.id))
@@ -119,7 +119,7 @@
 
     def _call(self, now: float, pending: PendingRequest) -> None:
         deadline = pending.deadline - self.interval
-        if pending.prefers_degraded:  # abandoned while a degraded answer is still in time
+        if pending.prefers_degraded:  # leaves time for a degraded answer within the objective
             deadline = min(deadline, pending.objective_at - pending.expected_run_time / 2)
         deadline = max(now + self.interval, deadline)
         self.actions.append(actions.CallDependency(pending.id, deadline))
@@ -149,7 +149,10 @@
     # State transitions.
 
     def answered(self, now: float, pending: PendingRequest) -> None:
-        """Answered, or nobody waits: what runs keeps its core and memory until its run ends."""
+        """Note that a request is answered or abandoned by its client.
+
+        A running request keeps its core and memory until its run ends.
+        """
         pending.is_answered = True
         if pending.state is RequestState.CALLING:
             self.transition(now, pending, RequestState.WAITING_FOR_CALL)
@@ -157,7 +160,7 @@
             self.transition(now, pending, RequestState.DONE)
 
     def transition(self, now: float, pending: PendingRequest, state: RequestState) -> None:
-        """Move a request to a state, and account for the one that it leaves."""
+        """Move a request to another state, and update the counts of running requests and calls."""
         before = pending.state
         if pending.is_queued:
             self.queue.remove(pending)
@@ -177,7 +180,7 @@
             self._release(pending, never_ran=before is RequestState.QUEUED)
 
     def _release(self, pending: PendingRequest, never_ran: bool) -> None:
-        """Free what a request reserved. The key of one that never ran would fail all of its retries."""
+        """Free a request's memory, and its key if it never ran: no result could answer its retries."""
         if never_ran:
             self.memory.key_expiry.pop(pending.id, None)
             if pending.is_key_retained:
@@ -186,7 +189,7 @@
         self.memory.reserved -= pending.memory
 
 
-RECONCILERS: dict[DesiredState, Callable[[Reconciler, float, PendingRequest], None]] = {
+RECONCILE_METHODS: dict[DesiredState, Callable[[Reconciler, float, PendingRequest], None]] = {
     DesiredState.UNCHANGED: Reconciler._stay,
     DesiredState.RUN: Reconciler._run,
     DesiredState.CALL: Reconciler._call,
--- a/thymeyoke/admission/request.py
+++ b/thymeyoke/admission/request.py
@@ -1,4 +1,4 @@
-"""A request between its arrival and its end, with its present and its desired state."""
+"""A request in flight, with its current and its desired state."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 
 
 class RequestState(IntEnum):
-    """Where a request is."""
+    """Current state of a request in flight."""
 
     QUEUED = 1
     RUNNING = 2
-    WAITING_FOR_CALL = 3  # its run waits, off the cores, for a dependency call to be made
-    CALLING = 4
+    WAITING_FOR_CALL = 3  # its run is suspended until a dependency call can be sent
+    CALLING = 4  # its dependency call is in flight
     REUSING_RESULT = 5
     DONE = 6
 
 
 class DesiredState(IntEnum):
-    """What a request should do next. From REJECT on a desired state is final; STOP frees the core as well."""
+    """What a request should do next. REJECT, FAIL and STOP are final; STOP also ends the run."""
 
     UNCHANGED = 1
     RUN = 2
@@ -36,7 +36,7 @@
 
 
 class PendingRequest:
-    """A request from its arrival until it is answered and off the cores."""
+    """A request from its arrival until it is answered and no longer running."""
 
     def __init__(
         self, now: float, request: Request, request_class: RequestClass, fairness_key: int,
@@ -49,16 +49,16 @@
         self.queue_key = QueueKey(fairness_key, request_class.priority_weight)
         self.arrived_at = now - request.queueing_delay
         self.deadline = _deadline(now, self.arrived_at, request, request_class)
-        # An answer after the deadline is lost as well, and the next attempt is queued by then.
+        # Never past the deadline: a later answer is lost, and the client's next attempt is queued by then.
         stretch = request_class.objective_stretch * request.work_hint
         self.objective_at = min(self.deadline, self.arrived_at + request_class.latency_objective + stretch)
         self.state, self.desired = RequestState.QUEUED, DesiredState.UNCHANGED
         self.state_since = now
-        self.on_core_time = self.off_core_time = 0.0  # so far
-        self.calls = 0  # dependency calls that its run asked for
-        self.attempts = 0  # of the present dependency call
+        self.on_core_time = self.off_core_time = 0.0  # seconds so far
+        self.calls = 0  # dependency calls that its run has needed
+        self.attempts = 0  # of the current dependency call
         self.retry_call_at = 0.0
-        self.retention_span = 0.0  # of its idempotency key; 0 where it has none
+        self.retention_span = 0.0  # seconds for which its idempotency key is retained; 0 without a key
         self.is_key_retained = self.is_answered = self.is_queued = False
 
     @property
@@ -73,12 +73,12 @@
 
     @property
     def expected_run_time(self) -> float:
-        """Expected time on a core; 0 without history."""
+        """Expected seconds on a core; 0 without history."""
         return self.estimate.on_core
 
     @property
     def call_value(self) -> float:
-        """What its dependency call is worth."""
+        """Value that the answer would lose without its dependency call."""
         return self.request_class.priority_weight * (1 - self.request_class.degraded_value_share)
 
     @property
@@ -87,7 +87,7 @@
         return self.request_class.degraded_value_share > self.request_class.late_value_share
 
     def leave_state(self, now: float) -> None:
-        """Add the time spent in the present state to the times on and off the cores."""
+        """Add the time spent in the current state to the times on and off the cores."""
         if self.state is RequestState.RUNNING:
             self.on_core_time += now - self.state_since
         elif self.state in (RequestState.WAITING_FOR_CALL, RequestState.CALLING):
--- a/thymeyoke/admission/run_times.py
+++ b/thymeyoke/admission/run_times.py
@@ -1,4 +1,4 @@
-"""Recent run times of each request class, on the cores and off them, and what to expect of a request."""
+"""Run time estimates for requests, from the recent run times of their class on and off the cores."""
 
 from __future__ import annotations
 
@@ -7,32 +7,33 @@
 from thymeyoke.admission.events import Request
 
 NEWEST_WEIGHT = 0.1  # of the newest value in a moving average
-FADE_FACTOR = 1 - NEWEST_WEIGHT / 2
+DECAY_FACTOR = 1 - NEWEST_WEIGHT / 2  # of the mean times, for each rejection while nothing runs
 
 
 class RunTimeEstimate(NamedTuple):
-    """What is expected of one run; all zero without history."""
+    """Expected times of one run; all zero without history."""
 
     on_core: float = 0.0  # seconds
     off_core: float = 0.0  # seconds in dependency calls
-    error: float = 0.0  # mean error of both together, in seconds
-    calls: float = 0.0  # dependency calls
+    error: float = 0.0  # mean absolute error of the total time, in seconds
+    calls: float = 0.0  # number of dependency calls
 
 
 class RunTimeSample(NamedTuple):
-    """What one run took."""
+    """Measured times of one run, or means over runs."""
 
-    on_core: float
-    off_core: float
-    error: float  # seconds by which the estimate was off
-    work_hint: float
-    calls: float
+    on_core: float  # seconds
+    off_core: float  # seconds in dependency calls
+    error: float  # seconds by which the estimate of the total time was off
+    work_hint: float  # seconds of a standard core
+    calls: float  # number of dependency calls
 
 
 class RunTimeEstimator:
-    """Moving averages by request class, scaled by the work hint where requests carry one.
+    """Moving averages by request class, scaled by the work hint of requests that carry one.
 
-    The scale is the mean of times over the mean of hints: a mean of ratios is ruled by the smallest requests.
+    The scale is the ratio of the mean time to the mean hint: a mean of ratios would be dominated by the
+    smallest requests.
     """
 
     def __init__(self, class_count: int) -> None:
@@ -41,7 +42,7 @@
     def learn(
         self, request: Request, estimate: RunTimeEstimate, on_core: float, off_core: float, calls: int
     ) -> None:
-        """Take in what a run took, beside what was expected of it."""
+        """Update the averages with the measured times of a run and the error of its estimate."""
         error = abs(on_core + off_core - estimate.on_core - estimate.off_core) if estimate.on_core else 0.0
         newest = RunTimeSample(on_core, off_core, error, request.work_hint, calls)
         mean = self.means[request.class_index] or newest
@@ -49,20 +50,21 @@
             *(old + NEWEST_WEIGHT * (new - old) for old, new in zip(mean, newest, strict=True))
         )
 
-    def fade(self, class_index: int) -> None:
-        """Shorten the times of a class of which nothing runs.
+    def decay(self, class_index: int) -> None:
+        """Shorten the times of a request class.
 
-        Times from a bad moment would otherwise reject all of its requests for ever.
+        Otherwise long times from a short disturbance could reject all requests of the class forever, as no
+        further run would correct them.
         """
         if mean := self.means[class_index]:
             self.means[class_index] = mean._replace(
-                on_core=FADE_FACTOR * mean.on_core,
-                off_core=FADE_FACTOR * mean.off_core,
-                error=FADE_FACTOR * mean.error,
+                on_core=DECAY_FACTOR * mean.on_core,
+                off_core=DECAY_FACTOR * mean.off_core,
+                error=DECAY_FACTOR * mean.error,
             )
 
     def estimate(self, request: Request) -> RunTimeEstimate:
-        """What a run of this request is expected to take."""
+        """Estimate the run time of a request."""
         mean = self.means[request.class_index]
         if mean is None:
             return RunTimeEstimate()
@@ -70,5 +72,5 @@
         return RunTimeEstimate(mean.on_core * scale, mean.off_core, mean.error * scale, mean.calls)
 
     def on_core_means(self) -> list[float]:
-        """Mean time on a core of each class that has history."""
+        """Mean seconds on a core of each class with history."""
         return [mean.on_core for mean in self.means if mean]
