--- a/thymeyoke/admission/settings.py
+++ b/thymeyoke/admission/settings.py
@@ -1,4 +1,4 @@
-"""Settings of admission control: request classes, the machine and its surroundings."""
+"""Settings of admission control: request classes, machine, dependency, clients and tenants."""
 
 from __future__ import annotations
 
@@ -10,109 +10,109 @@
     """Whether a request of a class may run more than once."""
 
     IDEMPOTENT = "retryable"
-    WITH_KEY = "keyed"  # a retry carries the same idempotency key and must not run within the key's window
+    WITH_KEY = "keyed"  # a retry carries the same idempotency key and must not run again within its window
     NOT_IDEMPOTENT = "non-retryable"
 
 
 class DependencyKind(Enum):
-    """What dependency calls reach."""
+    """The kind of dependency that requests call."""
 
     SHARED = "shared"  # one instance for all app servers
-    TIER = "tier"  # a fleet of its own, which sheds load by itself
+    TIER = "tier"  # a separate fleet, which sheds load by itself
     NONE = "nothing"
 
 
 class SignalKind(Enum):
-    """How clients read the backpressure value that rides on answers."""
+    """How clients interpret the backpressure value."""
 
-    FLOOR = "floor"  # the least priority that is still welcome
-    ALLOWANCE = "allowance"  # requests that one client may have open
+    FLOOR = "floor"  # the lowest priority that they should still send
+    ALLOWANCE = "allowance"  # requests that one client may have in flight
     WEIGHT = "weight"  # this server's weight in the clients' load balancing
     NONE = "nothing"
 
 
 class StopEffect(Enum):
-    """What stopping a run does to it."""
+    """What happens to a run that is stopped."""
 
     PAUSE = "pause"  # it keeps its progress and its memory
-    DISCARD = "drop"  # it goes back to the queue and its work is lost
-    NONE = "nothing"  # a run cannot be stopped
+    DISCARD = "drop"  # it returns to the queue and its work is lost
+    NONE = "nothing"  # runs cannot be stopped
 
 
 class RequestClass(NamedTuple):
-    """One class of requests."""
+    """One class of requests; times in seconds."""
 
-    latency_objective: float  # from the client's first attempt; full value up to here
-    client_timeout: float  # the client waits no longer
+    latency_objective: float  # counted from the client's first attempt; later answers are worth less
+    client_timeout: float  # after which the client abandons the request
     idempotency: Idempotency
     priority_weight: float
-    late_value_share: float  # of the priority weight: what an answer after the objective still earns
-    degraded_value_share: float  # of the priority weight: what an answer without its dependency call earns
+    late_value_share: float  # of the priority weight: value of an answer after the objective
+    degraded_value_share: float  # of the priority weight: value of an answer without its dependency call
     calls_dependency: bool
-    idempotency_window: float  # with a key: how long after its arrival a retry may come
-    objective_stretch: float  # the objective grows by this multiple of the request's own work
+    idempotency_window: float  # for WITH_KEY: retries may arrive this long after the request
+    objective_stretch: float  # the objective is extended by this multiple of the request's work hint
 
 
 class Machine(NamedTuple):
-    """The machine that runs requests."""
+    """The machine that runs the requests."""
 
     cores: float
     memory: float  # kilobytes
-    running_memory_factor: float  # a running request takes this many times the memory of a queued one
+    running_memory_factor: float  # memory of a running request relative to a queued one
     retained_key_size: float  # kilobytes
-    tick: float  # the shortest span between two batches of events
+    tick: float  # shortest time between two batches of events, in seconds
     stop_effect: StopEffect
-    gauges: tuple[str, ...]  # names of the gauges that come with a timer, in their order
+    gauges: tuple[str, ...]  # names of the gauges that are read at each timer, in order
 
 
 class OverloadLimits(NamedTuple):
-    """The concurrency that the machine survives."""
+    """The highest concurrency that the machine survives; times in seconds."""
 
-    max_concurrency: float  # running requests a core, of a server that is warm
-    averaging_span: float  # the mean is taken over this span
+    max_concurrency: float  # running requests for each core of a warm server
+    averaging_span: float  # the concurrency is averaged over this time
     starts_cold: bool
-    cold_speed_share: float  # of the full speed: the least that a cold server starts with
-    warm_up_timeout: float  # the server is warm after this at the latest
+    cold_speed_share: float  # lowest initial speed of a cold server, as a share of its full speed
+    warm_up_timeout: float  # after which the server is warm at the latest
 
 
 class ServiceTerms(NamedTuple):
-    """What an app server owes to its clients."""
+    """Guarantees of an app server towards its clients; times in seconds."""
 
-    answer_slack: float  # an answer may be late by this much
-    drain_grace: float  # requests that arrive this long after the shutdown notice are still admitted
+    answer_slack: float  # by which an answer may miss its deadline
+    drain_grace: float  # for which requests are still admitted after the shutdown notice
 
 
 class DependencySettings(NamedTuple):
-    """The dependency that requests call."""
+    """The dependency that requests call; times in seconds."""
 
     kind: DependencyKind
-    fair_concurrency: float  # this server's part of the calls that the dependency survives, on average
-    averaging_span: float
-    abandoned_call_span: float  # an abandoned call occupies the dependency for up to this
+    fair_concurrency: float  # this server's share of the calls that the dependency survives on average
+    averaging_span: float  # the number of calls is averaged over this time
+    abandoned_call_span: float  # for which an abandoned call occupies the dependency at most
 
 
 class ClientSettings(NamedTuple):
-    """The clients, which are routers or other services."""
+    """The clients, which are routers or other services; times in seconds."""
 
     client_count: float
     signal: SignalKind
-    signal_lifetime: float  # a client applies a backpressure value for this long
-    max_retry_after: float  # the longest Retry-After that clients follow; 0 where none is passed on
+    signal_lifetime: float  # for which a client applies a backpressure value
+    max_retry_after: float  # longest Retry-After that clients follow; 0 if they follow none
     marks_retries: bool
-    idle_timeout: float  # clients close connections that were unused for this long
-    result_freshness: float  # the result of a read may answer its repeats for this long
-    list_follows_health: bool  # the endpoint list drops servers that report themselves unhealthy
+    idle_timeout: float  # after which clients close idle connections themselves
+    result_freshness: float  # for which the result of a read may answer other requests for its subject
+    list_follows_health: bool  # the endpoint list removes servers that report themselves unhealthy
 
 
 class TenantSettings(NamedTuple):
     """One tenant."""
 
     share: float
-    quota: float  # requests a second, over the whole fleet
+    quota: float  # requests a second, for the complete fleet
 
 
 class AdmissionSettings(NamedTuple):
-    """All that an `AdmissionController` is made with."""
+    """All settings of an `AdmissionController`."""
 
     seed: int
     request_classes: tuple[RequestClass, ...]
@@ -121,7 +121,7 @@
     terms: ServiceTerms
     dependency: DependencySettings
     clients: ClientSettings
-    tenants: tuple[TenantSettings, ...]  # empty where requests name no tenant
+    tenants: tuple[TenantSettings, ...]  # empty if requests name no tenant
 
     @property
     def longest_client_timeout(self) -> float:
--- a/thymeyoke/affinity/bindings.py
+++ b/thymeyoke/affinity/bindings.py
@@ -1,12 +1,12 @@
-"""Exceptions as a join semilattice: by customer, the larger of (born, server, life, until).
+"""Bindings of clients to servers as a join semilattice: the larger (stamp, server, incarnation, expiry) wins.
 
-Pure. The order is total, so the join is a maximum: associative, commutative, idempotent, and it never goes
-down; a table of exceptions is the product of them. Whatever order, and however often, words come in, nodes
-that heard the same hold the same.
+Pure. The order is total, so the join is a maximum: associative, commutative, idempotent and monotonic. Nodes
+that received the same bindings therefore hold the same table, in whatever order and however often messages
+arrive.
 
-`born` orders exceptions. It is a logical stamp (Lamport, 1978), one more than all that its maker had heard
-of: clocks may be off by seconds, and an age would be another number at each node. `until` is a moment of the
-own clock, and travels as the span that is left.
+`stamp` orders the bindings of a client. It is a logical timestamp (Lamport, 1978), one more than all that its
+creator knew: clocks may differ by seconds, and ages would differ at each node. `expires_at` is a time of the
+local clock, and is sent as the remaining time.
 """
 
 from __future__ import annotations
@@ -14,75 +14,79 @@
 from collections.abc import Iterable, Mapping
 from typing import NamedTuple
 
-from thymeyoke.membership.view import NAME_MOST
+from thymeyoke.membership.view import MAX_NAME_LENGTH
 
-CUSTOMER_TOP = (1 << 64) - 1
-STAMP_TOP = 1 << 62
-AHEAD = 1 << 40  # stamps that another may be ahead: no fleet makes as many exceptions between two words
-LIFE_TOP = (1 << 63) - 1
-LONGEST = 8.0  # times the span that is told here: another node may have a longer linger
+MAX_CLIENT = (1 << 64) - 1
+MAX_STAMP = 1 << 62
+MAX_STAMP_LEAD = 1 << 40  # no fleet creates more bindings than this between two messages
+MAX_INCARNATION = (1 << 63) - 1
+MAX_TTL_FACTOR = 8.0  # longest accepted TTL relative to this node's, as idle timeouts of nodes may differ
 
 
-class Entry(NamedTuple):
-    """An exception as a node holds it. Compares in the order of the semilattice."""
+class Binding(NamedTuple):
+    """A client's binding as a node holds it. The order of comparison is that of the semilattice."""
 
-    born: int
+    stamp: int
     server: str
-    life: int  # the server's incarnation: another life of it knows nothing of the customer
-    until: float  # by the own clock
+    incarnation: int  # of the server: another incarnation has no session of the client
+    expires_at: float  # local clock
 
 
-class Told(NamedTuple):
-    """An exception on its way."""
+class ReplicatedEntry(NamedTuple):
+    """A binding as it is sent to other nodes."""
 
-    customer: int
-    born: int
+    client: int
+    stamp: int
     server: str
-    life: int
-    left: float  # seconds
+    incarnation: int  # of the server
+    remaining: float  # seconds until it expires
 
 
-Table = Mapping[int, Entry]
+Table = Mapping[int, Binding]
 
 
-def join(one: Entry, other: Entry) -> Entry:
+def join_bindings(one: Binding, other: Binding) -> Binding:
+    """The join of two bindings of a client: the later one."""
     return max(one, other)
 
 
-def joined(one: Table, other: Table) -> dict[int, Entry]:
-    """The join of two tables: what either knows."""
-    made = dict(one)
-    for customer, entry in other.items():
-        mine = made.get(customer)
-        made[customer] = entry if mine is None else join(mine, entry)
-    return made
+def join_tables(one: Table, other: Table) -> dict[int, Binding]:
+    """The join of two tables: for each client the join of its bindings."""
+    result = dict(one)
+    for client, binding in other.items():
+        known = result.get(client)
+        result[client] = binding if known is None else join_bindings(known, binding)
+    return result
 
 
-def below(one: Table, other: Table) -> bool:
-    """Whether `other` knows all that `one` does."""
-    return all(customer in other and entry <= other[customer] for customer, entry in one.items())
+def is_included(one: Table, other: Table) -> bool:
+    """Whether joining `one` would not change `other`."""
+    return all(client in other and binding <= other[client] for client, binding in one.items())
 
 
-def table(entries: Iterable[tuple[int, Entry]]) -> dict[int, Entry]:
-    made: dict[int, Entry] = {}
-    for customer, entry in entries:
-        made = joined(made, {customer: entry})
-    return made
+def make_table(bindings: Iterable[tuple[int, Binding]]) -> dict[int, Binding]:
+    """The join of bindings, given as pairs of client and binding."""
+    result: dict[int, Binding] = {}
+    for client, binding in bindings:
+        result = join_tables(result, {client: binding})
+    return result
 
 
-def fault(told: Told, newest: int, span: float) -> str:
-    """Why an exception cannot be, or nothing. `newest`: the latest stamp that is believed; `span`: the
-    longest that this node itself tells."""
-    if not 0 <= told.customer <= CUSTOMER_TOP:
+def find_fault(entry: ReplicatedEntry, max_stamp: int, max_ttl: float) -> str:
+    """Name the invalid property of a received binding, or return "" if it is valid.
+
+    `max_stamp`: the highest plausible stamp; `max_ttl`: the TTL of this node's own bindings, in seconds.
+    """
+    if not 0 <= entry.client <= MAX_CLIENT:
         return "customer"
-    if not 0 < told.born < STAMP_TOP:
+    if not 0 < entry.stamp < MAX_STAMP:
         return "stamp"
-    if told.born > newest:
+    if entry.stamp > max_stamp:
         return "tomorrow"
-    if not 0 < len(told.server) <= NAME_MOST:
+    if not 0 < len(entry.server) <= MAX_NAME_LENGTH:
         return "server"
-    if not 0 <= told.life <= LIFE_TOP:
+    if not 0 <= entry.incarnation <= MAX_INCARNATION:
         return "life"
-    if not 0 < told.left <= LONGEST * span:  # no number is never so
+    if not 0 < entry.remaining <= MAX_TTL_FACTOR * max_ttl:  # False for NaN as well
         return "span"
     return ""
--- a/thymeyoke/affinity/clients.py
+++ b/thymeyoke/affinity/clients.py
@@ -1,7 +1,7 @@
-"""A customer: a source address at a tenant, as one number of 64 bits that every node finds alike.
+"""Client keys: a source address at a tenant as a number of 64 bits, the same at every node. Pure.
 
-Pure. The number does not tell where the customer came in: a tenant that moves to another node takes its
-customers' seats with it.
+The key does not depend on the node that accepted the connection, so that a tenant can migrate between nodes
+without changing its clients' assignments.
 """
 
 from __future__ import annotations
@@ -9,19 +9,23 @@
 from hashlib import blake2b
 from ipaddress import IPv6Address, ip_address
 
-PREFIX = 8  # bytes of an IPv6 address that count: a /64 is one customer
-BITS = 64
+IPV6_PREFIX_BYTES = 8  # significant bytes of an IPv6 address: a /64 is one client
+KEY_BITS = 64
 
 
-def customer(tenant: str, source: str) -> int:
-    """The number of `source` (an IP address as text) at `tenant`: IPv4 whole, IPv4 in IPv6 as IPv4, IPv6 by
-    its /64. ValueError for a text that is no address."""
+def client_key(tenant: str, source: str) -> int:
+    """The key of `source`, an IP address as text, at `tenant`; raises ValueError for an invalid address.
+
+    IPv4 addresses count in full, IPv4-mapped IPv6 addresses as IPv4, other IPv6 addresses by their /64.
+    """
     if not isinstance(source, str):
         raise ValueError(f"not an address: {str(source)[:80]}")
     address = ip_address(source)
     if isinstance(address, IPv6Address):
-        inner = address.ipv4_mapped
-        where = b"6" + address.packed[:PREFIX] if inner is None else b"4" + inner.packed
+        mapped = address.ipv4_mapped
+        network = b"6" + address.packed[:IPV6_PREFIX_BYTES] if mapped is None else b"4" + mapped.packed
     else:
-        where = b"4" + address.packed
-    return int.from_bytes(blake2b(where + tenant.encode(errors="replace"), digest_size=BITS // 8).digest())
+        network = b"4" + address.packed
+    return int.from_bytes(
+        blake2b(network + tenant.encode(errors="replace"), digest_size=KEY_BITS // 8).digest()
+    )
--- a/thymeyoke/affinity/messages.py
+++ b/thymeyoke/affinity/messages.py
@@ -1,59 +1,61 @@
-"""What nodes say to each other of seats, as values. `wire.py` makes octets of them.
+"""Messages between nodes that replicate bindings; `wire.py` encodes them.
 
-Each node keeps a log of the exceptions that it vouches for: each has the number of its last change, and a
-later change takes the place of an earlier one. So the log is the table itself, told in order: whoever
-has nothing of it asks from 0, and a delta is the same from a later number. Numbers count in one life of a
-node.
+Each node has a log of the bindings that it replicates, numbered by their last change. A later change of a
+binding replaces the earlier entry, so that the log is equivalent to the table: a node that knows nothing
+requests it from number 0, and an update starts at a later number. Numbers start anew with each incarnation.
 """
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
-from thymeyoke.affinity.bindings import Told
+from thymeyoke.affinity.bindings import ReplicatedEntry
 
-ROOM = 7000  # octets of a piece: a word has 8 KiB
-PER_ITEM = 32  # octets, at most, of an exception without its server's name
-PER_SERVER = 16  # and of a server beside its name
-PER_MARK = 4
+CHUNK_BYTES = 7000  # target size of a chunk, as a message is limited to 8 KiB
+ENTRY_BYTES = 32  # maximum size of an entry, without its server
+SERVER_BYTES = 16  # maximum size of a listed server, without its name
+MARK_BYTES = 4
 
 
-class Marks(NamedTuple):
-    """Servers on the way into the hash at this node, by short marks of their lives."""
+class StateMarks(NamedTuple):
+    """States of servers that enter the hash at the sender, as short hashes of server and incarnation."""
 
-    late: frozenset[bytes] = frozenset()  # ripening here, though others may have taken it: they say so
-    ripe: frozenset[bytes] = frozenset()  # all seats that its taking would change are kept and told
-    takes: frozenset[bytes] = frozenset()  # lately; or a node had it as late or ripe
+    late: frozenset[bytes] = frozenset()  # ripening, but other nodes may have accepted it already
+    ripe: frozenset[bytes] = frozenset()  # all clients that it would take over are bound and replicated
+    taking: frozenset[bytes] = frozenset()  # recently accepted, or listed by a peer as late or ripe
 
 
-class Ask(NamedTuple):
-    """Tell me your log from behind `number` on, in full."""
+class LogRequest(NamedTuple):
+    """Requests the receiver's log after entry `number`."""
 
     number: int
-    of: int  # life of the one who is asked
-    life: int  # of the one who asks
+    peer_incarnation: int  # of the receiver
+    incarnation: int  # of the sender
 
 
-class Ack(NamedTuple):
-    """I have your log up to `number`."""
+class LogAck(NamedTuple):
+    """Acknowledges the receiver's log up to entry `number`."""
 
     number: int
-    of: int
-    life: int
+    peer_incarnation: int  # of the receiver
+    incarnation: int  # of the sender
 
 
-class Piece(NamedTuple):
-    """All that is still true of the changes behind `behind` up to `to`; the log ends at `head`. `marks` hold
-    once the reader has all up to `head`, and stand in the piece that reaches it."""
+class LogChunk(NamedTuple):
+    """The current entries of the sender's log with numbers above `start`, up to `end`.
 
-    life: int  # of the node whose log it is
-    behind: int
-    to: int
+    The log ends at `head`. The chunk that reaches it carries `marks`, which apply once the receiver has the
+    complete log.
+    """
+
+    incarnation: int  # of the sender
+    start: int
+    end: int
     head: int
-    stamp: int  # the latest that it knows
-    items: tuple[Told, ...] = ()
-    marks: Marks = Marks()
-    leaving: bool = False  # a handover: the node leaves
+    stamp: int  # latest logical timestamp that the sender knows
+    entries: tuple[ReplicatedEntry, ...] = ()
+    marks: StateMarks = StateMarks()
+    is_leaving: bool = False  # the sender is leaving; this is its handover
 
 
-Message = Ask | Ack | Piece
+Message = LogRequest | LogAck | LogChunk
--- a/thymeyoke/affinity/rendezvous.py
+++ b/thymeyoke/affinity/rendezvous.py
@@ -1,9 +1,9 @@
-"""Rendezvous hashing (Thaler and Ravishankar, 1998: highest random weight) of customers over server names.
+"""Rendezvous hashing (Thaler and Ravishankar, 1998: highest random weight) of clients over server names.
 
-Pure. A server's weight for a customer is `customer * factor + number` in 64 bits, with an odd factor and a
-number of its own (multiply-add-shift hashing: Dietzfelbinger, 1996). Of all servers at once these are one
-multiplication of long integers, a lane of 128 bits each: 300 of them take some 20 us. It goes by the name and
-not by the life: a server that comes back has its old share.
+The weight of a server for a client is `client * factor + addend` modulo 2**64, with an odd factor and an
+addend for each server (multiply-add-shift hashing: Dietzfelbinger, 1996). The weights of all servers are
+computed by one multiplication of long integers, with a lane of 128 bits for each server: about 20 us for 300
+servers. The hash depends on the name, not the incarnation: a restarted server gets its former clients.
 """
 
 from __future__ import annotations
@@ -13,78 +13,82 @@
 from hashlib import blake2b
 from struct import Struct
 
-LANE = 16  # bytes; the lower half is the weight, and no product reaches the next lane
-MASK = (1 << 64) - 1
+LANE_BYTES = 16  # the lower half is the weight; a product of two 64-bit numbers stays within the lane
+WEIGHT_MASK = (1 << 64) - 1
 
 
-def marked(name: str, life: int, size: int = 4) -> bytes:
-    """A short mark of one life of a server, the same at every node."""
-    return blake2b(f"{life} {name}".encode(errors="replace"), digest_size=size).digest()
+def incarnation_mark(name: str, incarnation: int, size: int = 4) -> bytes:
+    """A short hash of one incarnation of a server, the same at every node."""
+    return blake2b(f"{incarnation} {name}".encode(errors="replace"), digest_size=size).digest()
 
 
 @lru_cache(4096)
-def pair(name: str) -> tuple[int, int]:
-    """A server's own number and odd factor."""
-    made = blake2b(name.encode(errors="replace"), digest_size=16).digest()
-    return int.from_bytes(made[:8]), int.from_bytes(made[8:]) | 1
+def hash_parameters(name: str) -> tuple[int, int]:
+    """A server's addend and odd factor."""
+    digest = blake2b(name.encode(errors="replace"), digest_size=16).digest()
+    return int.from_bytes(digest[:8]), int.from_bytes(digest[8:]) | 1
 
 
-def _in_lanes(numbers: Iterable[int]) -> int:
-    return int.from_bytes(b"".join(number.to_bytes(LANE, "little") for number in numbers), "little")
+def _pack_lanes(addends: Iterable[int]) -> int:
+    return int.from_bytes(b"".join(addend.to_bytes(LANE_BYTES, "little") for addend in addends), "little")
 
 
-class Places:
-    """A set of server names that customers are hashed over. Of equal weights the smaller name comes first."""
+class RendezvousHash:
+    """Rendezvous hash over a set of server names. Of equal weights the smaller name comes first."""
 
-    __slots__ = ("factors", "lanes", "names", "numbers", "pairs")
+    __slots__ = ("factors", "lanes", "names", "addends", "parameters")
 
     def __init__(self, names: Iterable[str] = ()) -> None:
         self.names = tuple(sorted(names))
-        self.pairs = [pair(name) for name in self.names]
-        self.numbers = _in_lanes(number for number, _ in self.pairs)
-        self.factors = _in_lanes(factor for _, factor in self.pairs)
+        self.parameters = [hash_parameters(name) for name in self.names]
+        self.addends = _pack_lanes(addend for addend, _ in self.parameters)
+        self.factors = _pack_lanes(factor for _, factor in self.parameters)
         self.lanes = Struct("<" + "Q8x" * len(self.names))
 
-    def __reduce__(self) -> tuple[type[Places], tuple[tuple[str, ...]]]:
-        return Places, (self.names,)
+    def __reduce__(self) -> tuple[type[RendezvousHash], tuple[tuple[str, ...]]]:
+        return RendezvousHash, (self.names,)
 
     def __len__(self) -> int:
         return len(self.names)
 
-    def weights(self, customer: int) -> tuple[int, ...]:
-        lanes = customer * self.factors + self.numbers
+    def weights(self, client: int) -> tuple[int, ...]:
+        """The weights of all servers for a client, in the order of `names`."""
+        lanes = client * self.factors + self.addends
         return self.lanes.unpack(lanes.to_bytes(self.lanes.size, "little"))
 
-    def first(self, customer: int) -> str:
-        """The first choice; "" of none."""
-        if not self.pairs:
+    def first_choice(self, client: int) -> str:
+        """The client's first choice; "" if the set is empty."""
+        if not self.parameters:
             return ""
-        weights = self.weights(customer)
+        weights = self.weights(client)
         return self.names[weights.index(max(weights))]
 
-    def top(self, customer: int) -> tuple[int, str]:
-        """The first choice with its weight; (-1, "") of none."""
-        if not self.pairs:
+    def best(self, client: int) -> tuple[int, str]:
+        """Weight and name of the client's first choice; (-1, "") if the set is empty."""
+        if not self.parameters:
             return -1, ""
-        weights = self.weights(customer)
-        top = max(weights)
-        return top, self.names[weights.index(top)]
-
-    def above(self, customer: int, top: int, name: str) -> bool:
-        """Whether one of these comes before `name` of that weight. It mostly knows after a few."""
-        for (number, factor), mine in zip(self.pairs, self.names, strict=True):
-            its = customer * factor + number & MASK
-            if its > top or (its == top and mine < name):
+        weights = self.weights(client)
+        best = max(weights)
+        return best, self.names[weights.index(best)]
+
+    def has_better(self, client: int, best: int, name: str) -> bool:
+        """Whether one of these servers precedes a server `name` with weight `best`.
+
+        Usually decided after a few servers, without computing all weights.
+        """
+        for (addend, factor), own_name in zip(self.parameters, self.names, strict=True):
+            weight = client * factor + addend & WEIGHT_MASK
+            if weight > best or (weight == best and own_name < name):
                 return True
         return False
 
-    def ranked(self, customer: int) -> list[str]:
-        """All of them, first choice first."""
-        weights = self.weights(customer)
-        order = sorted(range(len(weights)), key=lambda at: (-weights[at], at))
-        return [self.names[at] for at in order]
+    def ranking(self, client: int) -> list[str]:
+        """All servers, first choice first."""
+        weights = self.weights(client)
+        order = sorted(range(len(weights)), key=lambda index: (-weights[index], index))
+        return [self.names[index] for index in order]
 
 
-def ranked(customer: int, servers: Iterable[str]) -> list[str]:
-    """The first choice of a customer among servers, and its next places."""
-    return Places(servers).ranked(customer)
+def ranking(client: int, servers: Iterable[str]) -> list[str]:
+    """All of these servers in the client's order of preference."""
+    return RendezvousHash(servers).ranking(client)
--- a/thymeyoke/affinity/server_state.py
+++ b/thymeyoke/affinity/server_state.py
@@ -1,97 +1,116 @@
-"""Where an app server stands for seats, as one node sees it: a state machine as a table. docs/affinity.md has
-it row by row. Pure."""
+"""State machine of an app server's admission into the hash, as one node sees it. Pure.
+
+docs/affinity.md has the table of transitions.
+"""
 
 from __future__ import annotations
 
 from enum import Enum, IntEnum
 from math import inf
 
-from thymeyoke.affinity.rendezvous import marked
+from thymeyoke.affinity.rendezvous import incarnation_mark
 from thymeyoke.membership.view import Member, State, Trust
 
 
-class Stage(IntEnum):
-    UNKNOWN = 0  # of this life nothing is known, or it is cold
-    RIPENING = 1  # it serves; customers whose seat its taking would change are being kept where they are
-    RIPE = 2  # all of them are kept here; it takes nobody until every node says so
-    TAKING = 3  # customers are hashed over these
-    LEAVING = 4  # its customers were handed over to the hash over the rest
-    GONE = 5  # the same; it is dead, or said farewell
+class ServerState(IntEnum):
+    """State of one app server; the names are logged."""
+
+    UNKNOWN = 0  # nothing is known of this incarnation, or it is warming up
+    RIPENING = 1  # it serves; clients that it would take over are being bound to their present servers
+    RIPE = 2  # all these clients are bound at this node; waits until every node has announced the same
+    TAKING = 3  # part of the hash: accepts new clients
+    LEAVING = 4  # draining: its clients are hashed over the other servers
+    GONE = 5  # dead or has left: its clients are hashed over the other servers
+
 
+class ServerEvent(Enum):
+    """Events that change a server's state; the values are logged."""
 
-class Fact(Enum):
-    COLD = "cold"
+    COLD = "cold"  # it reports that it is warming up
     SERVING = "serving"
-    UNSURE = "unsure"  # it served when it was last heard, and is suspected
+    UNSURE = "unsure"  # it was serving at its last report, and is suspected to be dead
     LEAVING = "leaving"
-    DEAD = "dead"  # or it said farewell
-    NEW_LIFE = "new life"  # followed by what it says
-    FORGOTTEN = "forgotten"  # it is not in the view any more
-    RIPENED = "ripened"
-    AGREED = "agreed"  # all nodes have it as ripe; or the margin for that is over
-
-
-LIVE = (Stage.RIPENING, Stage.RIPE, Stage.TAKING)
-MOVES: dict[tuple[Stage, Fact], Stage] = {
-    (Stage.UNKNOWN, Fact.SERVING): Stage.RIPENING,
-    (Stage.UNKNOWN, Fact.UNSURE): Stage.RIPENING,
-    (Stage.UNKNOWN, Fact.LEAVING): Stage.LEAVING,
-    (Stage.UNKNOWN, Fact.DEAD): Stage.GONE,
-    (Stage.RIPENING, Fact.RIPENED): Stage.RIPE,
-    (Stage.RIPE, Fact.AGREED): Stage.TAKING,
-    **{(stage, Fact.LEAVING): Stage.LEAVING for stage in LIVE},
-    **{(stage, Fact.DEAD): Stage.GONE for stage in (*LIVE, Stage.LEAVING)},
-    (Stage.GONE, Fact.SERVING): Stage.RIPENING,
-    (Stage.GONE, Fact.UNSURE): Stage.RIPENING,
-    (Stage.GONE, Fact.LEAVING): Stage.LEAVING,
-    **{(stage, Fact.NEW_LIFE): Stage.UNKNOWN for stage in Stage},
-    **{(stage, Fact.FORGOTTEN): Stage.UNKNOWN for stage in Stage},
+    DEAD = "dead"  # or it has left
+    NEW_LIFE = "new life"  # it has a new incarnation; followed by the event that this reports
+    FORGOTTEN = "forgotten"  # it is no longer in the view
+    RIPENED = "ripened"  # all clients that it would take over are bound
+    AGREED = "agreed"  # all nodes have announced it as ripe, or the margin for this is over
+
+
+LIVE_STATES = (ServerState.RIPENING, ServerState.RIPE, ServerState.TAKING)
+TRANSITIONS: dict[tuple[ServerState, ServerEvent], ServerState] = {
+    (ServerState.UNKNOWN, ServerEvent.SERVING): ServerState.RIPENING,
+    (ServerState.UNKNOWN, ServerEvent.UNSURE): ServerState.RIPENING,
+    (ServerState.UNKNOWN, ServerEvent.LEAVING): ServerState.LEAVING,
+    (ServerState.UNKNOWN, ServerEvent.DEAD): ServerState.GONE,
+    (ServerState.RIPENING, ServerEvent.RIPENED): ServerState.RIPE,
+    (ServerState.RIPE, ServerEvent.AGREED): ServerState.TAKING,
+    **{(state, ServerEvent.LEAVING): ServerState.LEAVING for state in LIVE_STATES},
+    **{(state, ServerEvent.DEAD): ServerState.GONE for state in (*LIVE_STATES, ServerState.LEAVING)},
+    (ServerState.GONE, ServerEvent.SERVING): ServerState.RIPENING,
+    (ServerState.GONE, ServerEvent.UNSURE): ServerState.RIPENING,
+    (ServerState.GONE, ServerEvent.LEAVING): ServerState.LEAVING,
+    **{(state, ServerEvent.NEW_LIFE): ServerState.UNKNOWN for state in ServerState},
+    **{(state, ServerEvent.FORGOTTEN): ServerState.UNKNOWN for state in ServerState},
 }
 
 
-def step(stage: Stage, fact: Fact) -> Stage:
-    return MOVES.get((stage, fact), stage)
+def next_state(state: ServerState, event: ServerEvent) -> ServerState:
+    """The state after an event; unchanged if the table has no transition."""
+    return TRANSITIONS.get((state, event), state)
 
 
-def fact(member: Member) -> Fact:
-    """What a member says and is taken for, in one word."""
-    if not member.there:
-        return Fact.DEAD
+def server_event(member: Member) -> ServerEvent:
+    """The event that follows from a member's reported state and the failure detector's verdict."""
+    if not member.is_present:
+        return ServerEvent.DEAD
     match member.snapshot.state:
         case State.COLD:
-            return Fact.COLD
+            return ServerEvent.COLD
         case State.LEAVING:
-            return Fact.LEAVING
-    return Fact.UNSURE if member.trust == Trust.UNSURE else Fact.SERVING
+            return ServerEvent.LEAVING
+    return ServerEvent.UNSURE if member.trust == Trust.UNSURE else ServerEvent.SERVING
 
 
-def span(seconds: float) -> float:
-    """What another says of a span: noise counts as nothing."""
+def sanitized_span(seconds: float) -> float:
+    """A duration reported by another process; invalid values count as 0."""
     return seconds if 0 <= seconds < inf else 0.0
 
 
-class Server:
-    """One life of an app server."""
+class ServerRecord:
+    """One incarnation of an app server."""
 
     __slots__ = (
-        "agreeing", "back", "floor", "life", "mark", "moved_at", "name", "returned", "stage", "start",
-        "told_until")  # fmt: skip
-
-    def __init__(self, name: str, life: int) -> None:
-        self.name, self.life, self.mark = name, life, marked(name, life)
-        self.stage = Stage.UNKNOWN
-        self.start = inf  # when it began to serve: its own word, by this process's clock
-        self.floor = -inf  # it ripens from here on, though it served before: this node came to know it late
-        self.back = False  # GONE without a farewell: it may be heard again
-        self.returned = False  # it was
-        self.moved_at = -inf  # into the last stage
-        self.agreeing = False  # TAKING here, and not yet known to be so at every node
-        self.told_until = -inf  # others are told that it takes
+        "agreeing",
+        "may_return",
+        "late_since",
+        "incarnation",
+        "mark",
+        "state_changed_at",
+        "name",
+        "returned",
+        "state",
+        "serving_since",
+        "announced_until",
+    )
+
+    def __init__(self, name: str, incarnation: int) -> None:
+        self.name, self.incarnation, self.mark = name, incarnation, incarnation_mark(name, incarnation)
+        self.state = ServerState.UNKNOWN
+        self.serving_since = inf  # when it started to serve, by its own report converted to the local clock
+        self.late_since = -inf  # when this node discovered it, if long after it started to serve
+        self.may_return = False  # GONE without having left: it may be a false suspicion
+        self.returned = False  # it came back from GONE
+        self.state_changed_at = -inf
+        self.agreeing = False  # TAKING here, but not yet known to be TAKING at every node
+        self.announced_until = -inf  # until then TAKING is announced to the other nodes
 
     @property
-    def late(self) -> bool:
-        return self.floor > -inf
+    def is_late(self) -> bool:
+        """Whether this node discovered the server long after it started to serve."""
+        return self.late_since > -inf
 
     @property
-    def ripens_from(self) -> float:
-        return max(self.start, self.floor)
+    def ripening_since(self) -> float:
+        """Start of the ripening time."""
+        return max(self.serving_since, self.late_since)
--- a/thymeyoke/cli.py
+++ b/thymeyoke/cli.py
@@ -26,13 +26,13 @@
 
 
 class InvalidConfigurationError(click.ClickException):
-    """A file that was named cannot be used; one sentence, exit 2."""
+    """A configuration file cannot be used; exit status 2."""
 
     exit_code = 2
 
 
 class Commands(click.Group):
-    """The commands of subsystems, imported when they are asked for."""
+    """A click group that imports the commands of subsystems only when they are used."""
 
     elsewhere = {  # noqa: RUF012
         "announce": ("thymeyoke.bgp.commands", "group"),
@@ -46,7 +46,7 @@
         return sorted([*super().list_commands(ctx), *self.elsewhere])
 
     def get_command(self, ctx: click.Context, name: str) -> click.Command | None:
-        """One command, or None where there is none of that name."""
+        """The command with this name, or None."""
         if name not in self.elsewhere:
             return super().get_command(ctx, name)
         module, command = self.elsewhere[name]
@@ -91,7 +91,7 @@
             lambda: read_start_file(config).server,
             lambda: _read_service_config(service_config),
         )
-    except StartFileError as error:  # found while starting: the address can't be listened on
+    except StartFileError as error:  # the address cannot be listened on
         raise click.ClickException(str(error)) from None
 
 
@@ -105,7 +105,7 @@
 @service_config_option()
 @click.pass_context
 def check(ctx: click.Context, config: Path | None, service_config: Path | None) -> None:
-    """Read a start file, a service configuration, or both, and print what they ask for.
+    """Read a start file, a service configuration, or both, and print their settings.
 
     A node has no start file.
 
@@ -169,9 +169,9 @@
 
 
 def _read_any_service_config(path: Path, has_start_file: bool) -> ServiceConfig:
-    """The service configuration of a node, or of an app server.
+    """Read and check the service configuration of a node or an app server.
 
-    Without a start file what is wrong is reported as `thymeyoke node` reports it: exit 1.
+    Without a start file, errors are reported as by `thymeyoke node`, with exit status 1.
     """
     from thymeyoke.configuration.service_config import ServiceConfigError
     from thymeyoke.runtime.extensions import HostConfigurationError, check_host
@@ -193,7 +193,7 @@
 
 
 def _read_checked_service_config(path: Path | None) -> ServiceConfig:
-    """The service configuration of an app server, which this machine allows as well."""
+    """Read the service configuration of an app server, and check that this machine supports it."""
     if path is None:
         return {}
     from thymeyoke.configuration.service_config import ServiceConfigError
--- a/thymeyoke/configuration/__init__.py
+++ b/thymeyoke/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""The files that operators and the platform write, as typed values."""
+"""Configuration files of operators and the platform, read into typed values."""
--- a/thymeyoke/configuration/fields.py
+++ b/thymeyoke/configuration/fields.py
@@ -1,4 +1,4 @@
-"""Typed reading of JSON objects, with errors that name the field and what would do."""
+"""Typed access to JSON objects, with errors that name the field and the expected value."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from thymeyoke.runtime.errors import ThymeyokeError
 
 INVALID_VALUE = "holds a value that cannot be used"
-MAX_QUOTED_LENGTH = 40  # characters of a value that an error shows
+MAX_QUOTED_LENGTH = 40  # characters of a value in an error message
 
 Meaning = TypeVar("Meaning")
 
@@ -17,9 +17,9 @@
 
 
 class FieldReader:
-    """One object of a start file. `path` leads to it from the root; `null` counts as absent.
+    """Reads the fields of one object of a start file; `null` counts as absent.
 
-    All methods raise `StartFileError` for a value that cannot be used.
+    `path`: the object's path from the root. All methods raise `StartFileError` for invalid values.
     """
 
     def __init__(self, value: Any, path: str = "") -> None:
@@ -33,7 +33,7 @@
         return f"{self.path}.{name}" if self.path else name
 
     def error(self, name: str, expected: str) -> StartFileError:
-        """What to raise for a field that is missing or cannot be used."""
+        """The error for a field that is missing or invalid."""
         found = self.value.get(name)
         if found is None:
             return StartFileError(f"lacks '{name}' in {self.path or 'the whole'}; it must be {expected}")
@@ -43,7 +43,7 @@
     def number(
         self, name: str, default: float | None = None, *, least: float = 0.0, above: float | None = None
     ) -> float:
-        """A number of at least `least`, or of more than `above`. Without a default it must be there."""
+        """A number of at least `least`, or more than `above` if given. Required unless there is a default."""
         given = self.value.get(name, default)
         value: Any = default if given is None else given
         expected = f"a number of at least {least:g}" if above is None else f"a number above {above:g}"
@@ -53,21 +53,21 @@
         return number
 
     def flag(self, name: str) -> bool:
-        """True or false; false where it is absent."""
+        """A boolean; False if absent."""
         value = self.value.get(name)
         if value not in (None, False, True):
             raise self.error(name, "true or false")
         return bool(value)
 
     def text(self, name: str) -> str:
-        """A text that is not empty."""
+        """A non-empty text."""
         value = self.value.get(name)
         if not isinstance(value, str) or not value:
-            raise self.error(name, "a text")
+            raise self.error(name, "a non-empty text")
         return value
 
     def one_of(self, name: str, meanings: dict[str, Meaning], default: str | None = None) -> Meaning:
-        """What one of several words means."""
+        """The meaning of a text that must be one of the keys of `meanings`."""
         value = self.value.get(name)
         value = default if value is None else value
         if not isinstance(value, str) or value not in meanings:
@@ -75,14 +75,14 @@
         return meanings[value]
 
     def section(self, name: str, *, optional: bool = False) -> FieldReader:
-        """An object within this one; empty where it is optional and absent."""
+        """A reader of a nested object; an empty one if it is optional and absent."""
         value = self.value.get(name)
         if value is None and not optional:
             raise self.error(name, "an object")
         return FieldReader({} if value is None else value, self.path_of(name))
 
     def entries(self, name: str) -> list[Any]:
-        """A list; empty where it is absent."""
+        """A list; empty if absent."""
         value = self.value.get(name)
         if value is not None and not isinstance(value, list):
             raise self.error(name, "a list")
@@ -95,9 +95,9 @@
         ]
 
     def entry(self, name: str, index: int) -> FieldReader:
-        """One entry of a list that has one for each request class, as a field named by its index.
+        """One entry of a list with an entry for each request class, as a field named by its index.
 
-        The field is absent where the list is shorter.
+        The field is absent if the list is shorter.
         """
         entries = self.entries(name)
         return FieldReader({str(index): entries[index] if index < len(entries) else None}, self.path_of(name))
--- a/thymeyoke/configuration/options.py
+++ b/thymeyoke/configuration/options.py
@@ -1,4 +1,4 @@
-"""The click option that names a service configuration, with its former spellings."""
+"""The click option for the service configuration, with its former spellings as aliases."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 
 def service_config_option(*, required: bool = False) -> Callable[[Command], Command]:
-    """Give a command the parameter `service_config`, a path or None.
+    """Add the parameter `service_config`, a path or None, to a command.
 
-    The former spellings are still read, with one warning; the present ones come first. Where it is
-    `required`, a command without it is a usage error.
+    The former spellings are accepted with one warning; the current ones take precedence. If `required`, a
+    missing option is a usage error.
     """
 
     def decorate(command: Command) -> Command:
--- a/thymeyoke/configuration/service_config.py
+++ b/thymeyoke/configuration/service_config.py
@@ -1,8 +1,8 @@
 """The service configuration: an INI file, read into one typed value for each section.
 
-Each option is converted by msgspec to the type that the section's own module declares. A section's module is
-imported only where the file has that section. An error is one sentence that names file, section and option,
-and what to write instead.
+msgspec converts each option to the type that the section's module declares. A section's module is imported
+only if the file has the section. Errors name the file, the section and the option, and say what to write
+instead.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 import msgspec
 
-# Each module has `read_settings`, for the section and its subsections.
+# Each module has a function `read_settings` for its section and subsections.
 SECTION_MODULES = {
     "announce": "thymeyoke.bgp.configuration",
     "ledger": "thymeyoke.ledger.configuration",
@@ -30,7 +30,7 @@
     "node": "thymeyoke.proxy.configuration",
 }
 
-SECRET_OPTIONS = ("password", "key")  # whose values are never quoted in an error
+SECRET_OPTIONS = ("password", "key")  # their values are never quoted in errors
 SectionType = TypeVar("SectionType", bound=msgspec.Struct)
 ServiceConfig = dict[str, Any]  # settings by the section's name
 IpAddress = IPv4Address | IPv6Address
@@ -38,18 +38,18 @@
 
 
 class ServiceConfigError(Exception):
-    """The file cannot be used; the text tells the operator why."""
+    """The file cannot be used; the message tells the operator why."""
 
 
 class HostPort:
-    """An IP address and a port; no host name is resolved."""
+    """An IP address and a port; host names are not resolved."""
 
     def __init__(self, ip: IpAddress, port: int) -> None:
         self.ip, self.port = ip, port
 
     @classmethod
     def parse(cls, text: str) -> HostPort:
-        """Read `address:port`, with an IPv6 address in brackets; ValueError if it is anything else."""
+        """Parse `address:port`, with an IPv6 address in brackets; raises ValueError."""
         host, _, port = text.rpartition(":")
         if not 0 < int(port) < 65536:
             raise ValueError(text)
@@ -66,7 +66,7 @@
 
 
 class ConfigFile:
-    """The sections of one file as text, with errors that name the file."""
+    """The sections of one file as texts, with methods to convert them."""
 
     def __init__(self, path: Path, text: str) -> None:
         self.path = path
@@ -80,7 +80,7 @@
         except (MissingSectionHeaderError, ParsingError) as error:
             line = getattr(error, "lineno", None) or error.errors[0][0]
             raise ServiceConfigError(
-                f"{path}: line {line} can't be read; write [section] lines, and option = value under them"
+                f"{path}: line {line} is invalid; write [section] lines, and option = value below them"
             ) from None
         self.sections: dict[str, dict[str, str]] = {}
         for raw_name in parser.sections():
@@ -90,12 +90,12 @@
             self.sections[name] = dict(parser[raw_name])
 
     def error(self, section: str, option: str | None, problem: str) -> ServiceConfigError:
-        """An error that names file, section and, where it is one option's, the option."""
+        """An error that names the file, the section and, if given, the option."""
         text = f"{option}: {problem}" if option else problem
         return ServiceConfigError(f"{self.path}: [{section}] {text}")
 
     def read_section(self, section: str, type_: type[SectionType], **given: Any) -> SectionType:
-        """Convert one section to a typed value; `given` are fields that no option sets."""
+        """Convert one section to a typed value; `given`: fields that are not options."""
         options = self.sections[section]
         hints = get_type_hints(type_, include_extras=True)
         all_fields = msgspec.structs.fields(type_)
@@ -112,7 +112,7 @@
         return type_(**values)
 
     def _convert(self, section: str, option: str, text: str, hint: Any) -> Any:
-        """One option's text as the type of its hint; a tuple is written with commas."""
+        """Convert an option's text to the type of its hint; the items of a tuple are separated by commas."""
         plain_type = get_args(hint)[0] if hasattr(hint, "__metadata__") else hint
         is_tuple = get_origin(plain_type) is tuple
         value: Any = _split_list(text) if is_tuple else text.strip()
@@ -128,18 +128,18 @@
 
 
 def _decode_custom_type(type_: Any, value: Any) -> Any:
-    """A value of a type that msgspec does not know, by its `parse` or its constructor."""
+    """Create a value of a type unknown to msgspec, with its `parse` method or its constructor."""
     return type_.parse(value) if hasattr(type_, "parse") else type_(value)
 
 
 def _describe(hint: Any) -> str:
-    """What an option accepts, for an error."""
+    """Description of the values that an option accepts, for error messages."""
     metadata = [meta for meta in getattr(hint, "__metadata__", ()) if isinstance(meta, msgspec.Meta)]
     return next((meta.description for meta in metadata if meta.description), "a value of its type")
 
 
 def read_service_config(path: Path) -> ServiceConfig:
-    """Read a whole file; raises `ServiceConfigError`, and nothing of a bad file is used."""
+    """Read a complete file; raises `ServiceConfigError` if any part of it is invalid."""
     try:
         config_file = ConfigFile(path, path.read_text())
     except OSError as error:
--- a/thymeyoke/configuration/start_file.py
+++ b/thymeyoke/configuration/start_file.py
@@ -1,7 +1,8 @@
-"""The platform's start file, as typed values for an app server and its admission control.
+"""The platform's start file, read into typed values for an app server and its admission control.
 
-`read_start_file` reads a whole file, `read_admission_settings` the settings that the simulator hands over as
-well. Keys that are not known are skipped. Here alone stand the file's spellings; all spans become seconds.
+`read_start_file` reads a complete file; `read_admission_settings` reads the settings, which the simulator
+passes as well. Unknown keys are ignored. The file's spellings appear only here; all durations are converted
+to seconds.
 """
 
 from __future__ import annotations
@@ -51,12 +52,12 @@
 STOP_EFFECTS = {"freeze": StopEffect.PAUSE, "discard": StopEffect.DISCARD, "silent": StopEffect.NONE}
 GAUGE_NAMES = {"cpu_busy": "busy", "runnable": "runnable", "mem_used": "memory", "sockets": "connections"}
 HIGHEST_PORT = 65535
-DEFAULT_MAX_DESCRIPTORS = 1024  # where no limit is given
-DEFAULT_IDLE_TIMEOUT_US = 3_600_000_000  # of clients that are not known to close idle connections
+DEFAULT_MAX_DESCRIPTORS = 1024  # if no limit is given
+DEFAULT_IDLE_TIMEOUT_US = 3_600_000_000  # if it is unknown when clients close idle connections
 
 
 class Address(NamedTuple):
-    """A host, as text, and a port."""
+    """A host name or IP address, and a port."""
 
     host: str
     port: int
@@ -66,27 +67,27 @@
 
 
 class RequestNames(NamedTuple):
-    """Requests name their class and tenant; admission control counts them from 0."""
+    """Indexes of request classes and tenants by their names in requests."""
 
     request_classes: dict[str, int]
     tenants: dict[str, int]
 
 
 class ServerSettings(NamedTuple):
-    """One app server's addresses and resources."""
+    """Addresses and resource limits of one app server."""
 
     name: str
     listen: Address
     processor: Address
-    dependency: Address | None  # None where requests call no dependency
+    dependency: Address | None  # None if requests call no dependency
     endpoint_registry: Address
     stop_timeout: float  # seconds from the shutdown notice until the process is killed
     max_descriptors: int
-    memory_limit: float  # bytes; infinite where the start file names none
+    memory_limit: float  # bytes; infinite if the start file has no limit
 
 
 class StartFile(NamedTuple):
-    """A start file."""
+    """The contents of a start file."""
 
     server: ServerSettings
     request_names: RequestNames
@@ -94,7 +95,7 @@
 
 
 def read_start_file(path: Path) -> StartFile:
-    """Read a start file; `StartFileError` names the file, the field and what it must be."""
+    """Read a start file; raises `StartFileError`, which names the file, the field and the expected value."""
     try:
         document = orjson.loads(path.read_bytes())
         profile = FieldReader(document).section("settings").value
@@ -112,7 +113,7 @@
 
 
 def read_server_settings(document: dict[str, Any]) -> ServerSettings:
-    """The parts of a start file that tell where the server is and what it may use."""
+    """Read the addresses and resource limits of the server."""
     fields = FieldReader(document)
     family = fields.section("settings").section("family_info")
     limits = fields.section("limits", optional=True)
@@ -120,7 +121,7 @@
     has_dependency = bool(document.get("db")) or kind is not DependencyKind.NONE
     return ServerSettings(
         name=fields.text("name"),
-        listen=read_address(fields, "listen", least_port=0),  # 0: any that is free
+        listen=read_address(fields, "listen", least_port=0),  # 0: any free port
         processor=read_address(fields, "processor"),
         dependency=read_address(fields, "db") if has_dependency else None,
         endpoint_registry=read_address(fields, "naming"),
@@ -131,7 +132,7 @@
 
 
 def read_address(fields: FieldReader, name: str, least_port: int = 1) -> Address:
-    """HOST:PORT. A port out of range would else be found by the first connect, at every attempt anew."""
+    """Read HOST:PORT. The port is checked here, as otherwise each connect would fail with an invalid one."""
     host, _, port = fields.text(name).rpartition(":")
     host = host.removeprefix("[").removesuffix("]")
     is_number = port.isascii() and port.isdigit() and len(port) <= len(str(HIGHEST_PORT))
@@ -141,7 +142,7 @@
 
 
 def read_request_names(profile: dict[str, Any]) -> RequestNames:
-    """The names of request classes and tenants, by their place in the settings."""
+    """Read the names of request classes and tenants, with their indexes."""
     root = FieldReader(profile, "settings")
     return RequestNames(
         {row.text("name"): index for index, row in enumerate(root.objects("request_classes"))},
@@ -150,7 +151,7 @@
 
 
 def read_seed(document: dict[str, Any]) -> int:
-    """The seed of the server's random numbers."""
+    """Read the seed of the server's random numbers."""
     fields = FieldReader(document)
     try:
         return int(fields.text("seed"), 16)
@@ -159,7 +160,7 @@
 
 
 def read_admission_settings(seed: int, profile: dict[str, Any]) -> AdmissionSettings:
-    """The settings of admission control, from the object `settings` of a start file or of the simulator."""
+    """Read the settings of admission control from the object `settings` of a start file or the simulator."""
     root = FieldReader(profile, "settings")
     family, contract = root.section("family_info"), root.section("contract")
     return AdmissionSettings(
@@ -181,7 +182,7 @@
 
 
 def read_request_classes(profile: dict[str, Any]) -> tuple[RequestClass, ...]:
-    """All request classes, at least one."""
+    """Read all request classes; there must be at least one."""
     root = FieldReader(profile, "settings")
     family = root.section("family_info", optional=True)
     rows = root.objects("request_classes")
@@ -193,7 +194,7 @@
 def _read_request_class(fields: FieldReader, family: FieldReader, index: int) -> RequestClass:
     deadline = fields.number("deadline_us", above=0)
     idempotency = fields.one_of("effect", IDEMPOTENCY_BY_EFFECT)
-    # A window that is absent must not be none: a retry within the client's timeout would run again.
+    # The default is not 0, as a retry within the client's timeout would then run again.
     default_window = deadline if idempotency is Idempotency.WITH_KEY else 0
     window = fields.number("memory_span_us", default_window)
     return RequestClass(
@@ -226,7 +227,7 @@
         max_concurrency=contract.number("fall_multiple", least=1),
         averaging_span=contract.number("fall_us") * SECONDS_PER_MICROSECOND,
         starts_cold=family.flag("cold"),
-        # Where no least speed is given, none is certain: at full speed a cold server would fall over.
+        # The default is 0, as a cold server that is taken for a fast one would fail under the load.
         cold_speed_share=contract.number("cold_share", 0),
         warm_up_timeout=contract.number("cold_us", 0) * SECONDS_PER_MICROSECOND,
     )
@@ -236,8 +237,8 @@
     kind = family.one_of("below", DEPENDENCY_KINDS, "silent")
     fair_concurrency = family.number("fair_calls", 0)
     if kind is DependencyKind.SHARED and not fair_concurrency:
-        # A part that is absent is not a part of nothing, which would let no call out, ever: as with a tier,
-        # the answers alone tell how much the dependency takes.
+        # A missing share must not count as 0, which would allow no calls at all: as with a tier, only the
+        # answers show how many calls the dependency accepts.
         kind = DependencyKind.TIER
     return DependencySettings(
         kind=kind,
@@ -263,7 +264,7 @@
 
 
 def _available_descriptors() -> int:
-    """Descriptors that the system lets this process have."""
+    """The system's limit of file descriptors for this process, at most the default."""
     soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft == resource.RLIM_INFINITY:
         return DEFAULT_MAX_DESCRIPTORS
--- a/thymeyoke/membership/__init__.py
+++ b/thymeyoke/membership/__init__.py
@@ -1,1 +1,4 @@
-"""Who is there, in which life, how full: snapshots and views. docs/membership.md."""
+"""Membership of the fleet: gossip, failure detection, and views of all members and their load.
+
+docs/membership.md has the states and rules as tables.
+"""
--- a/thymeyoke/membership/controller.py
+++ b/thymeyoke/membership/controller.py
@@ -1,12 +1,12 @@
-"""Who is there: facts from other members in, messages to them out.
+"""The membership protocol of one process: received messages in, messages to other members out. Pure.
 
-Pure. SWIM (Das, Gupta, Motivala 2002) with Lifeguard's local health and shrinking suspicion (Dadgar and
-others 2018). Each period one member is probed, in a shuffled round; where it does not answer, through
-others; then it is suspected, and dead when it has not refuted that in time. News rides on probes and
-their answers; nodes besides tell each other of themselves each period, straight. docs/membership.md weighs it
-against leases, and has the state table and the rules.
+SWIM (Das, Gupta, Motivala, 2002) with Lifeguard's local health and shrinking suspicions (Dadgar and others,
+2018). In each period one member is probed, in random round-robin order; if it does not answer, indirectly
+through others. Then it is suspected, and dead if it does not refute in time. Updates are piggybacked on
+probes and answers. Nodes also send their own snapshots directly to each other in each period.
 
-Orders decide, never clocks: `now` measures spans of this process alone.
+Snapshots are ordered by their numbers, never by clocks: `now` only measures durations within this process.
+docs/membership.md has the state table and the rules.
 """
 
 from __future__ import annotations
@@ -17,720 +17,818 @@
 from typing import NamedTuple
 
 from thymeyoke.membership.failure_detector import (
-    DEAD_STAYS,
-    EPOCH,
-    GONE_STAYS,
-    HERE,
-    TAKEN,
-    TRUST,
+    DEAD_RETENTION_PERIODS,
+    EPOCH_SEQUENCES,
+    GONE_RETENTION_PERIODS,
+    PRESENT_STATUSES,
+    TRUST_BY_STATUS,
+    UPDATABLE_STATUSES,
+    Announcement,
     Event,
-    Known,
-    Layer,
-    Said,
-    Stand,
+    KnownMember,
+    MemberStatus,
+    SnapshotLayer,
     Suspicion,
-    brief,
     classify,
     epoch,
-    step,
+    figures_only,
+    next_status,
 )
 from thymeyoke.membership.gossip import (
-    MESH_NEWS,
-    NEWS,
+    GOSSIP_BYTES,
+    MIN_MESH_GOSSIP_BYTES,
+    Accusation,
     Action,
-    Fresh,
-    Item,
-    Kind,
+    GossipItem,
+    GossipQueue,
+    LogEvent,
     Message,
-    Noted,
-    Rumour,
+    MessageKind,
     Send,
     Verdict,
-    detail_cost,
+    detail_size,
 )
-from thymeyoke.membership.limits import fault
+from thymeyoke.membership.limits import find_fault
 from thymeyoke.membership.view import Member, Snapshot, State, Trust, View
 
-MOST = 4096  # members known at once; then the dead make room, and without any strangers are left out
-SPEAKS = 1 / 4  # of a probe's span: so long the member itself has to answer, then others ask it
-ASKS = 1 / 4  # of a period: so long one who asks for another waits before it says that there is no answer
-HELPERS = 3  # others who are asked to ping
-WITNESSES = 4  # members, in the mean, that probe next whom another one suspects: they confirm, or clear it
-HEALTH_TOP = 8  # of the local health, which is 0 at best; spans stretch by 1 + it
-SHAKEN = 3  # the local health of a process that stood still
-LATE = 1.0  # periods past its moment at which a settle is a process that stood still
-PULL = 10.0  # periods between two whole tables, and more in a large fleet
-PULL_FLEET = 32  # members from which on that is stretched, by the logarithm
-TABLES = 1 << 15  # members in the whole tables of one beat: a quarter of a second's work, about
-SEEDS = 3  # addresses asked at once while nobody is known
-DEAD_ASKED = 5  # beats between two words to one that is dead: a cut heals though nobody is a seed
-FANOUT = 8  # others that are told at once of a change of this process
-DETAIL = 1 << 18  # octets of loads that a node tells others in a period, about; all in turn
-RELAYS = 256  # pings for others at once
-TELLINGS = 64  # that somebody was told what is known of its own name, in one beat
-MARGIN = 2.0  # periods by which one life must be the longer one, to be the older
-STALE, HALF = 3.0, 10.0  # periods from which on figures lose weight, and in which they lose half
-GOSSIPED = 16  # members more, for each further period that figures by gossip may take
+MAX_MEMBERS = 4096  # then new members replace dead ones, or are ignored if there are none
+DIRECT_PROBE_SHARE = 1 / 4  # of a probe's timeout, after which other members are asked to ping
+RELAYED_PING_PERIODS = 1 / 4  # after which a ping for another member is reported as unanswered
+INDIRECT_PROBES = 3  # members that are asked to ping
+MEAN_WITNESSES = 4  # mean number of members that probe a suspect next, to confirm or clear the suspicion
+MAX_HEALTH_SCORE = 8  # Lifeguard's local health: 0 is best; timeouts are multiplied by 1 + score
+STALL_HEALTH_SCORE = 3  # minimum score after this process stalled
+STALL_PERIODS = 1.0  # lateness from which this process counts as stalled
+SYNC_PERIODS = 10.0  # between two full synchronizations; longer in a large fleet
+SYNC_STRETCH_MEMBERS = 32  # above this number the interval grows with the logarithm of the number of members
+MAX_SYNC_ENTRIES = 1 << 15  # sent in full synchronizations of one period: about 0.25 s of processor time
+SEEDS_WHILE_ALONE = 3  # seeds contacted in a period while no member is known
+DEAD_PING_PERIODS = 5  # between two pings of dead members, so that a partition heals without seeds
+URGENT_FANOUT = 8  # members that an urgent change of this process is sent to at once
+DETAIL_BYTES_PER_PERIOD = 1 << 18  # approximate size of the loads sent to other nodes, in turn
+MAX_RELAYS = 256  # concurrent pings for other members
+MAX_CORRECTIONS = 64  # replies to outdated or conflicting senders in one period
+UPTIME_MARGIN_PERIODS = 2.0  # smaller differences of uptime do not decide a name conflict
+# Age from which load figures lose weight, and time in which they lose half of it.
+FULL_WEIGHT_PERIODS, WEIGHT_HALF_LIFE_PERIODS = 3.0, 10.0
+MEMBERS_PER_GOSSIP_PERIOD = 16  # for each such number of members gossip may take one period longer
 
 
 class Probe(NamedTuple):
-    """One member that is being asked whether it is there."""
+    """A probe in progress."""
 
     name: str
     number: int
-    began: float
-    through: float  # when others are asked
-    over: float
+    started_at: float
+    indirect_at: float  # when other members are asked to ping
+    expires_at: float
     helpers: tuple[str, ...] = ()
     nacks: frozenset[str] = frozenset()
 
 
 class Relay(NamedTuple):
-    """A ping for another member."""
+    """A ping on behalf of another member."""
 
-    asker: str  # its address
-    number: int  # as it counts
-    about: str
-    until: float
+    requester: str  # its address
+    number: int  # of the requester's probe
+    subject: str
+    expires_at: float
 
 
 class Membership:
-    """All that one process knows. Call `say` and `heard` as things happen, then `settle`; its actions are
-    to be carried out in order. `next` says when to settle again. Times in seconds.
+    """All that one process knows of the fleet; times in seconds.
 
-    `known` is emptied as the dead and the gone are forgotten; `relays`, `told` and `doubted` as their spans
-    pass; `pulled` on each beat; `fresh` as news has been told; `unanswered_seeds` as they answer, others tell
-    of them, or nobody listens there."""
+    After each event call `advance` and carry out its actions in order; `next_advance_at` returns when to call
+    it next without an event.
+    """
 
     def __init__(self, now: float, own: Snapshot, seeds: tuple[str, ...], rng: Random, period: float) -> None:
+        """`seeds`: addresses of members to contact first; `period`: protocol period."""
         self.seeds = tuple(seed for seed in seeds if seed != own.address)
-        # Guards against a view that passes for whole because words are slow: half of the fleet was heard of,
-        # by its own questions, and the other half's answers were still on their way.
+        # Seeds that have not answered, are not known from others, and did not refuse the connect. While there
+        # are any, the view may be incomplete: with slow messages, half of the fleet may be known from its own
+        # requests while the answers of the other half are still in flight.
         self.unanswered_seeds = set(self.seeds)
-        self.rng, self.period, self.began, self.now = rng, period, now, now
+        self.rng, self.period, self.started_at, self.now = rng, period, now, now
         self.own = own._replace(sequence=max(1, own.sequence))
-        self.first = own.incarnation  # by this process's clock, at `began`: what is from tomorrow is later
-        self.wanted = self.own  # what was last told of this process; it is said on the next beat
-        self.said_at, self.state_at = now, now - own.since
-        self.known: dict[str, Known] = {}  # by name, without this process
-        self.fresh = Fresh()
-        self.out: list[Action] = []
+        self.first_incarnation = own.incarnation  # its clock time; limits plausible incarnations of others
+        self.pending_own = self.own  # the latest announced snapshot, which is sent with the next period
+        self.announced_at, self.state_at = now, now - own.since
+        self.known: dict[str, KnownMember] = {}  # by name, without this process
+        self.gossip = GossipQueue()
+        self.outbox: list[Action] = []
         self.version = 1
-        self.counted = 0, 0  # the version, and how many are there by it
+        self.cached_count = 0, 0  # version, and number of present members at that version
         self.health = 0
         self.probe: Probe | None = None
-        self.round: list[str] = []  # whom to probe, and emptied by it
-        self.number = 0
-        self.relays: dict[int, Relay] = {}
-        self.told: dict[str, float] = {}  # by address, when it was told of its own name
-        self.pulled: set[str] = set()  # addresses that were told all since the last beat
-        self.doubted: set[str] = set()  # names of those with a suspicion
-        self.conflict = ""  # one sentence, where another process keeps this one's name
+        self.probe_round: list[str] = []  # members left to probe in this round
+        self.number = 0  # of the last ping
+        self.relays: dict[int, Relay] = {}  # by the number of our ping
+        self.corrected: dict[str, float] = {}  # by address: time of the last correction
+        self.synced: set[str] = set()  # addresses that received a full synchronization in this period
+        self.suspected: set[str] = set()  # names of members with a suspicion
+        self.conflict = ""  # error message if another process owns this one's name
         self.left = False
-        self.beats, self.turn = 0, 0
-        self.beat_at = now + rng.random() * period  # its own phase: hundreds that start at once ask in turn
-        self.probe_at = now + rng.random() * period
-        self.pull_at = now + (1 + rng.random()) * period
-        self.planned = now
-        self.lag, self.lag_until = 0.0, now  # what is read just after a standstill may be that old
-        self.woke_at = float("-inf")  # from the last one
-
-    # Facts.
-
-    def say(self, now: float, own: Snapshot) -> None:
-        """Figures of this process, new. Name, address, life and order are the membership's own; a state
-        only moves forward."""
+        self.period_count, self.mesh_offset = 0, 0
+        self.next_period_at = now + rng.random() * period  # random phase, as many may start at once
+        self.next_probe_at = now + rng.random() * period
+        self.next_sync_at = now + (1 + rng.random()) * period
+        self.expected_at = now
+        self.staleness, self.stale_until = 0.0, now  # after a stall: messages may be that old until then
+        self.resumed_at = float("-inf")  # from the last stall
+
+    # Events.
+
+    def announce(self, now: float, own: Snapshot) -> None:
+        """Update this process's snapshot.
+
+        Name, address, incarnation and sequence are kept; the state only advances.
+        """
         self.now, old = now, self.own
-        state = max(old.state, own.state, self.wanted.state)
-        self.wanted = own._replace(
+        state = max(old.state, own.state, self.pending_own.state)
+        self.pending_own = own._replace(
             name=old.name, node=old.node, address=old.address, incarnation=old.incarnation,
             sequence=old.sequence, state=state)  # fmt: skip
         if state != old.state:
             self.state_at = now
-        urgent = (state, own.serves, own.holds) != (old.state, old.serves, old.holds)
-        if urgent and not self.mute:
+        is_urgent = (state, own.serves, own.holds) != (old.state, old.serves, old.holds)
+        if is_urgent and not self.is_silent:
             if state != old.state:
                 self.version += 1
-            self._renew(now)
-            self._spread(now)
+            self._renew_own(now)
+            self._send_urgently(now)
 
     def leave(self, now: float) -> None:
-        """Farewell: said at once to some, who pass it on. Nothing follows it."""
-        if not self.mute:
-            self.say(now, self.wanted._replace(state=State.GONE))
+        """Announce that this process leaves; it is silent afterwards."""
+        if not self.is_silent:
+            self.announce(now, self.pending_own._replace(state=State.GONE))
         self.left = True
 
-    def heard(self, now: float, sender: str, message: Message) -> None:
-        """`sender`: the address that the message says it is from."""
-        self._woke(now)
-        me = message.me
-        if self.mute:
+    def receive(self, now: float, sender: str, message: Message) -> None:
+        """Handle a message; `sender`: the address in the message's head."""
+        self._check_stall(now)
+        sender_announcement = message.sender
+        if self.is_silent:
             return
-        if me.snapshot.address != sender or sender == self.own.address:
-            return self._note("misplaced")
-        if me.snapshot.name == self.own.name:
-            return self._rival(now, message)
+        if sender_announcement.snapshot.address != sender or sender == self.own.address:
+            return self._record("misplaced")
+        if sender_announcement.snapshot.name == self.own.name:
+            return self._resolve_name_conflict(now, message)
         dead = {
-            (one.name, one.incarnation, one.epoch) for one in message.rumours if one.verdict == Verdict.DEAD
+            (member.name, member.incarnation, member.epoch)
+            for member in message.accusations
+            if member.verdict == Verdict.DEAD
         }
-        event = self._said(now, me, dead)
-        if message.kind != Kind.PULL:  # who asks has not answered yet
+        event = self._apply_announcement(now, sender_announcement, dead)
+        if message.kind != MessageKind.PULL:  # a request is not an answer
             self._seed_answered(sender)
-        for said in message.said:
-            if self._said(now, said, dead) is not None:
-                self._seed_answered(said.snapshot.address)
-        for rumour in message.rumours:
-            self._rumour(now, rumour)
-        known = self.known.get(me.snapshot.name)
+        for announcement in message.announcements:
+            if self._apply_announcement(now, announcement, dead) is not None:
+                self._seed_answered(announcement.snapshot.address)
+        for accusation in message.accusations:
+            self._apply_accusation(now, accusation)
+        known = self.known.get(sender_announcement.snapshot.name)
         if event is None or known is None:
             return
-        behind = known.stand not in HERE or me.snapshot.order < known.figures.order
-        if behind and event != Event.FAREWELL:
-            self._tell(now, sender, known)  # what is known of its name is newer than what it says
-        if known.figures.address != sender or known.figures.incarnation != me.snapshot.incarnation:
+        is_behind = (
+            known.status not in PRESENT_STATUSES or sender_announcement.snapshot.order < known.figures.order
+        )
+        if is_behind and event != Event.FAREWELL:
+            self._send_correction(now, sender, known)  # a newer snapshot of its name is known than its own
+        if (
+            known.figures.address != sender
+            or known.figures.incarnation != sender_announcement.snapshot.incarnation
+        ):
             return
-        if now >= self.lag_until:
-            known.heard_at = now
-        self._answer(now, known, sender, message)
+        if now >= self.stale_until:
+            known.received_at = now
+        self._respond(now, known, sender, message)
 
-    def change(self, now: float, seeds: tuple[str, ...], period: float) -> None:
-        """The operators' file, read anew. What is known stays."""
+    def reconfigure(self, now: float, seeds: tuple[str, ...], period: float) -> None:
+        """Apply changed settings; all knowledge of members is kept."""
         self.seeds = tuple(seed for seed in seeds if seed != self.own.address)
         self.unanswered_seeds.intersection_update(self.seeds)
         if period != self.period:
             self.period, self.probe = period, None
-            self.beat_at = self.probe_at = self.planned = now
-            self.pull_at = now + period
+            self.next_period_at = self.next_probe_at = self.expected_at = now
+            self.next_sync_at = now + period
 
-    def refused(self, now: float, address: str) -> None:
-        """A connect to the address was refused: nobody listens there."""
-        self._woke(now)
+    def connect_refused(self, now: float, address: str) -> None:
+        """Note that a connect was refused, so nobody listens at the address."""
+        self._check_stall(now)
         self._seed_answered(address)
 
-    def begin(self, now: float) -> None:
-        """It runs from now on: what lies between its making, or an error, and this is no standstill."""
-        self.planned = max(self.planned, now)
-
-    # Outcomes.
-
-    def settle(self, now: float) -> list[Action]:
-        """All that is to be told now."""
-        self._woke(now)
-        if not self.mute:
-            if now >= self.beat_at:
-                self._beat(now)
-            self._suspicions(now)
-            self._probing(now)
-            self._relaying(now)
-            if now >= self.pull_at:
-                self._pull(now)
-        out, self.out = self.out, []
-        self.planned = self.next(now)
-        return out
-
-    def next(self, now: float) -> float:
-        """The next moment at which `settle` may say something though nothing was heard."""
-        if self.out:
+    def start(self, now: float) -> None:
+        """Note that the protocol runs from now on: the time before does not count as a stall."""
+        self.expected_at = max(self.expected_at, now)
+
+    # Actions.
+
+    def advance(self, now: float) -> list[Action]:
+        """Do the work that is due; returns messages to send and events to log."""
+        self._check_stall(now)
+        if not self.is_silent:
+            if now >= self.next_period_at:
+                self._run_period(now)
+            self._expire_suspicions(now)
+            self._advance_probe(now)
+            self._expire_relays(now)
+            if now >= self.next_sync_at:
+                self._request_full_sync(now)
+        actions, self.outbox = self.outbox, []
+        self.expected_at = self.next_advance_at(now)
+        return actions
+
+    def next_advance_at(self, now: float) -> float:
+        """The next time at which `advance` may have work to do, if no event happens before."""
+        if self.outbox:
             return now
-        if self.mute:
+        if self.is_silent:
             return float("inf")
-        moments = [self.beat_at, self.pull_at, self._probe_next()]
-        moments += [relay.until for relay in self.relays.values()]
-        moments += [doubt.over_at for name in self.doubted if (doubt := self.known[name].suspicion)]
+        moments = [self.next_period_at, self.next_sync_at, self._next_probe_event_at()]
+        moments += [relay.expires_at for relay in self.relays.values()]
+        moments += [
+            suspicion.expires_at for name in self.suspected if (suspicion := self.known[name].suspicion)
+        ]
         return min(moments)
 
-    def stood(self, now: float) -> tuple[float, float]:
-        """When this process last woke from a standstill, and how old what it read then may have been: it may
-        have been stopped a beat before it was missed."""
-        self._woke(now)
-        return self.woke_at, self.lag + self.period
+    def last_stall(self, now: float) -> tuple[float, float]:
+        """When this process last resumed from a stall, and the maximum age of messages read then.
+
+        The stall may have started one period before it was noticed.
+        """
+        self._check_stall(now)
+        return self.resumed_at, self.staleness + self.period
 
     def view(self, now: float) -> View:
-        own = self.wanted._replace(
+        """The current view of the fleet."""
+        own = self.pending_own._replace(
             incarnation=self.own.incarnation, sequence=self.own.sequence, since=max(0.0, now - self.state_at)
         )
-        members = {name: self._member(now, one) for name, one in self.known.items()}
-        members[own.name] = Member(own, Trust.SURE, max(0.0, now - self.said_at), 1.0)
+        members = {name: self._make_member(now, member) for name, member in self.known.items()}
+        members[own.name] = Member(own, Trust.SURE, max(0.0, now - self.announced_at), 1.0)
         return View(self.version, now, own.name, members, len(self.unanswered_seeds))
 
     @property
-    def mute(self) -> bool:
-        """It has left, or it has no name: nothing is said any more."""
+    def is_silent(self) -> bool:
+        """Whether this process sends nothing any more, as it has left or lost its name."""
         return self.left or bool(self.conflict)
 
-    def here(self) -> list[Known]:
-        return [one for one in self.known.values() if one.stand in HERE]
+    def present_members(self) -> list[KnownMember]:
+        """The other members that are alive or suspected."""
+        return [member for member in self.known.values() if member.status in PRESENT_STATUSES]
 
-    def many(self) -> int:
-        """Members that are there, this one among them. Counted anew where the version moved."""
-        if self.counted[0] != self.version:
-            self.counted = self.version, 1 + sum(one.stand in HERE for one in self.known.values())
-        return self.counted[1]
+    def member_count(self) -> int:
+        """Number of present members including this one; cached until the version changes."""
+        if self.cached_count[0] != self.version:
+            self.cached_count = (
+                self.version,
+                1 + sum(member.status in PRESENT_STATUSES for member in self.known.values()),
+            )
+        return self.cached_count[1]
 
-    # What is known of others.
+    # Knowledge of other members.
 
-    def _member(self, now: float, known: Known) -> Member:
-        shown = known.shown
+    def _make_member(self, now: float, known: KnownMember) -> Member:
+        snapshot = known.merged
         age = max(0.0, now - known.confirmed_at())
-        return Member(shown, TRUST[known.stand], age, self._weight(age, known))
+        return Member(snapshot, TRUST_BY_STATUS[known.status], age, self._weight(age, known))
 
-    def _weight(self, age: float, known: Known) -> float:
-        """Full while it may still be the newest that there can be here, then halved again and again. What is
-        unsure has half of it, what is dead none: its figures are not known, which is not "no load"."""
-        if known.stand not in HERE:
+    def _weight(self, age: float, known: KnownMember) -> float:
+        """Weight of a member's load figures, by their age.
+
+        Full while they may still be the newest that could have arrived, then decaying exponentially. Halved
+        for suspected members, and 0 for dead ones, whose load is unknown.
+        """
+        if known.status not in PRESENT_STATUSES:
             return 0.0
-        straight = self.own.node and known.figures.node
-        full = self.period * (STALE + len(self.known) / GOSSIPED * (1 / 2 if straight else 1))
-        weight = float(0.5 ** (max(0.0, age - full) / (HALF * self.period)))
-        return weight / 2 if known.stand == Stand.UNSURE else weight
-
-    def _said(self, now: float, said: Said, dead: set[tuple[str, int, int]]) -> Event | None:
-        """Take a snapshot, by the table. `dead`: lives that the same message says are over."""
-        new = said.snapshot
+        is_direct = self.own.node and known.figures.node
+        full_weight_age = self.period * (
+            FULL_WEIGHT_PERIODS + len(self.known) / MEMBERS_PER_GOSSIP_PERIOD * (1 / 2 if is_direct else 1)
+        )
+        weight = float(0.5 ** (max(0.0, age - full_weight_age) / (WEIGHT_HALF_LIFE_PERIODS * self.period)))
+        return weight / 2 if known.status == MemberStatus.UNSURE else weight
+
+    def _apply_announcement(
+        self, now: float, announcement: Announcement, dead: set[tuple[str, int, int]]
+    ) -> Event | None:
+        """Apply a received snapshot; returns its event, or None if it is invalid or about this process.
+
+        `dead`: (name, incarnation, epoch) that the same message accuses of being dead.
+        """
+        new = announcement.snapshot
         known = self.known.get(new.name)
-        if known and said.layers == Layer.FIGURES and new.order <= known.figures.order \
+        if known and announcement.layers == SnapshotLayer.FIGURES and new.order <= known.figures.order \
                 and new.address == known.figures.address:  # fmt: skip
-            return Event.OLDER  # most of what is heard: nothing of it is taken
-        if now < self.lag_until:
-            said = said._replace(age=said.age + self.lag)
-        if why := self._fault(now, said):
-            self._note("snapshots_dropped", "", why)
+            return Event.OLDER  # the most common case, without any effect
+        if now < self.stale_until:
+            announcement = announcement._replace(age=announcement.age + self.staleness)
+        if reason := self._find_fault(now, announcement):
+            self._record("snapshots_dropped", "", reason)
             return None
         if new.name == self.own.name:
-            self._of_me(now, said, dead)
+            self._apply_own_announcement(now, announcement, dead)
             return None
-        event = classify(known, said, self.period)
+        event = classify(known, announcement, self.period)
         if known is None:
-            buried = (new.name, new.incarnation, epoch(new)) in dead
-            if event != Event.NEW_LIFE or buried or not self._room():
+            is_known_dead = (new.name, new.incarnation, epoch(new)) in dead
+            if event != Event.NEW_LIFE or is_known_dead or not self._make_room():
                 return event
-            known = self.known[new.name] = Known(now, said)
+            known = self.known[new.name] = KnownMember(now, announcement)
         elif event == Event.ANOTHER_ADDRESS:
-            self._note("another_address", new.name, new.address)
-            self._tell(now, new.address, known)
-        elif known.stand != Stand.GONE and backward(known, new, event):
-            self._note("snapshots_dropped", "", "a state that goes back within a life")
+            self._record("another_address", new.name, new.address)
+            self._send_correction(now, new.address, known)
+        elif known.status != MemberStatus.GONE and is_backward(known, new, event):
+            self._record("snapshots_dropped", "", "state goes back within an incarnation")
             return None
-        if known.stand in TAKEN.get(event, ()):
+        if known.status in UPDATABLE_STATUSES.get(event, ()):
             changed = (known.figures.incarnation, known.figures.state) != (new.incarnation, new.state)
-            known.take(now, said)
-            self.fresh.put(new.name, waits=not changed and event == Event.NEWER)
-            if changed and step(known.stand, event) == known.stand:
+            known.update(now, announcement)
+            self.gossip.put(new.name, can_wait=not changed and event == Event.NEWER)
+            if changed and next_status(known.status, event) == known.status:
                 self.version += 1
         elif event == Event.OLDER:
-            known.also(now, said)
-        self._step(now, known, event)
+            known.merge_layers(now, announcement)
+        self._transition(now, known, event)
         return event
 
     def _seed_answered(self, address: str) -> None:
         if address in self.unanswered_seeds:
             self.unanswered_seeds.remove(address)
-            self.version += not self.unanswered_seeds  # who waits for them looks at the view
+            self.version += not self.unanswered_seeds  # notifies users of the view
 
-    def _fault(self, now: float, said: Said) -> str:
-        if not 0.0 <= said.age < float("inf"):
-            return "an age that cannot be"
-        return fault(said.snapshot, self.first + int((now - self.began) * 1000))
+    def _find_fault(self, now: float, announcement: Announcement) -> str:
+        if not 0.0 <= announcement.age < float("inf"):
+            return "age is negative or infinite"
+        return find_fault(announcement.snapshot, self.first_incarnation + int((now - self.started_at) * 1000))
 
-    def _room(self) -> bool:
-        if len(self.known) < MOST:
+    def _make_room(self) -> bool:
+        if len(self.known) < MAX_MEMBERS:
             return True
-        away = [one for one in self.known.values() if one.stand not in HERE]
-        if not away:
-            self._note("full")
+        absent = [member for member in self.known.values() if member.status not in PRESENT_STATUSES]
+        if not absent:
+            self._record("full")
             return False
-        self._forget(min(away, key=lambda one: one.since))
+        self._forget(min(absent, key=lambda member: member.status_since))
         return True
 
-    def _rumour(self, now: float, rumour: Rumour) -> None:
-        """Counts for the very life and epoch that is known here: an older one is refuted already, and of a
-        newer one nothing is known that could be doubted."""
+    def _apply_accusation(self, now: float, accusation: Accusation) -> None:
+        """Apply an accusation, if it is about the incarnation and epoch known here.
+
+        Accusations of older ones are already refuted, and of newer ones there is no snapshot yet.
+        """
         own = self.own
-        if rumour.name == own.name:
-            if rumour.incarnation == own.incarnation and rumour.epoch == epoch(own):
+        if accusation.name == own.name:
+            if accusation.incarnation == own.incarnation and accusation.epoch == epoch(own):
                 self._refute(now)
             return
-        known = self.known.get(rumour.name)
-        if known is None or (rumour.incarnation, rumour.epoch) != (known.figures.incarnation, known.epoch):
+        known = self.known.get(accusation.name)
+        if known is None or (accusation.incarnation, accusation.epoch) != (
+            known.figures.incarnation,
+            known.epoch,
+        ):
             return
-        doubt = known.suspicion
-        if rumour.verdict == Verdict.DEAD and (doubt is None or rumour.by not in doubt.by):
-            event = Event.FOUND_DEAD  # said again by one who suspects it already, it is no second one's word
-        elif known.stand in HERE:
+        suspicion = known.suspicion
+        if accusation.verdict == Verdict.DEAD and (
+            suspicion is None or accusation.accuser not in suspicion.accusers
+        ):
+            event = Event.FOUND_DEAD  # an accuser that already suspects it does not count as a second one
+        elif known.status in PRESENT_STATUSES:
             event = Event.SUSPECTED
         else:
             return
-        self._step(now, known, event, rumour.by)
-
-    def _step(self, now: float, known: Known, event: Event, by: str = "") -> None:
-        """One row of the table."""
-        before, known.stand = known.stand, step(known.stand, event)
-        if known.stand == Stand.UNSURE and event in (Event.UNANSWERED, Event.SUSPECTED, Event.FOUND_DEAD):
-            self._doubt(now, known, event, by or self.own.name)
-        if known.stand == before:
+        self._transition(now, known, event, accusation.accuser)
+
+    def _transition(self, now: float, known: KnownMember, event: Event, accuser: str = "") -> None:
+        """Apply one event to a member's status, with all effects of a change."""
+        before, known.status = known.status, next_status(known.status, event)
+        if known.status == MemberStatus.UNSURE and event in (
+            Event.UNANSWERED,
+            Event.SUSPECTED,
+            Event.FOUND_DEAD,
+        ):
+            self._suspect(now, known, event, accuser or self.own.name)
+        if known.status == before:
             return
         name = known.figures.name
-        known.since = now
+        known.status_since = now
         self.version += 1
-        self.fresh.put(name, waits=False)
-        if known.stand != Stand.UNSURE:
+        self.gossip.put(name, can_wait=False)
+        if known.status != MemberStatus.UNSURE:
             known.suspicion = None
-            self.doubted.discard(name)
-        if known.stand == Stand.UNKNOWN:
+            self.suspected.discard(name)
+        if known.status == MemberStatus.UNKNOWN:
             return self._forget(known)
-        if known.stand == Stand.SURE and before not in HERE and name not in self.round:
-            self.round.insert(self.rng.randrange(len(self.round) + 1), name)  # not after a whole round only
-        self._note("now_" + known.stand.value, name, event.value)
+        if (
+            known.status == MemberStatus.SURE
+            and before not in PRESENT_STATUSES
+            and name not in self.probe_round
+        ):
+            self.probe_round.insert(self.rng.randrange(len(self.probe_round) + 1), name)  # in this round
+        self._record("now_" + known.status.value, name, event.value)
 
-    def _doubt(self, now: float, known: Known, event: Event, by: str) -> None:
+    def _suspect(self, now: float, known: KnownMember, event: Event, accuser: str) -> None:
         if known.suspicion is None:
-            unit = self.period * (1 + self.health)
-            known.suspicion = Suspicion(now, by, self.many(), unit)
-            self.doubted.add(known.figures.name)
-            if by == self.own.name:  # it hears of it at once, and can refute
-                self._send(known.figures.address, Kind.PUSH, known)
-            elif self.rng.random() < WITNESSES / self.many():
-                self.round.append(known.figures.name)
-        elif known.suspicion.confirm(by):
-            self.fresh.put(known.figures.name, waits=False)
+            period = self.period * (1 + self.health)
+            known.suspicion = Suspicion(now, accuser, self.member_count(), period)
+            self.suspected.add(known.figures.name)
+            if accuser == self.own.name:  # tells the suspect at once, so that it can refute
+                self._send(known.figures.address, MessageKind.PUSH, known)
+            elif self.rng.random() < MEAN_WITNESSES / self.member_count():
+                self.probe_round.append(known.figures.name)
+        elif known.suspicion.confirm(accuser):
+            self.gossip.put(known.figures.name, can_wait=False)
         if event == Event.FOUND_DEAD:
-            known.suspicion.sure()
+            known.suspicion.shorten()
 
-    def _forget(self, known: Known) -> None:
+    def _forget(self, known: KnownMember) -> None:
         name = known.figures.name
-        self.version += known.stand != Stand.UNKNOWN
+        self.version += known.status != MemberStatus.UNKNOWN
         del self.known[name]
-        self.doubted.discard(name)
-        self.fresh.drop(name)
+        self.suspected.discard(name)
+        self.gossip.remove(name)
 
-    def _suspicions(self, now: float) -> None:
-        for name in sorted(self.doubted):
+    def _expire_suspicions(self, now: float) -> None:
+        for name in sorted(self.suspected):
             known = self.known[name]
-            if known.suspicion and known.suspicion.over_at <= now:
-                self._step(now, known, Event.SUSPICION_OVER)
+            if known.suspicion and known.suspicion.expires_at <= now:
+                self._transition(now, known, Event.SUSPICION_OVER)
 
-    def _stays(self, now: float) -> None:
-        spans = {Stand.DEAD: DEAD_STAYS * self.period, Stand.GONE: GONE_STAYS * self.period}
+    def _expire_retention(self, now: float) -> None:
+        spans = {
+            MemberStatus.DEAD: DEAD_RETENTION_PERIODS * self.period,
+            MemberStatus.GONE: GONE_RETENTION_PERIODS * self.period,
+        }
         for known in list(self.known.values()):
-            if now >= known.since + spans.get(known.stand, float("inf")):
-                self._step(now, known, Event.STAY_OVER)
+            if now >= known.status_since + spans.get(known.status, float("inf")):
+                self._transition(now, known, Event.STAY_OVER)
 
     # This process, as others see it.
 
-    def _renew(self, now: float) -> None:
-        """A new snapshot of this process."""
-        self.own = self.wanted._replace(
+    def _renew_own(self, now: float) -> None:
+        """Create the next snapshot of this process."""
+        self.own = self.pending_own._replace(
             incarnation=self.own.incarnation, sequence=self.own.sequence + 1,
             since=max(0.0, now - self.state_at))  # fmt: skip
-        self.said_at = now
+        self.announced_at = now
 
     def _refute(self, now: float) -> None:
-        """Others doubt this life: a higher epoch of it says that it is there. To be doubted is a sign that
-        something is amiss here, too."""
-        self._note("refuted")
-        self._unwell(1)
-        self.own = self.own._replace(sequence=(epoch(self.own) + 1) * EPOCH)
-        self._renew(now)
-        self._spread(now)
-
-    def _relive(self, now: float, other: Snapshot) -> None:
-        """A life of this name is known that looks newer, by a clock that was ahead: this one goes above."""
-        self._note("incarnation_raised")
+        """Refute an accusation with a higher epoch; being accused also lowers the local health."""
+        self._record("refuted")
+        self._adjust_health(1)
+        self.own = self.own._replace(sequence=(epoch(self.own) + 1) * EPOCH_SEQUENCES)
+        self._renew_own(now)
+        self._send_urgently(now)
+
+    def _raise_incarnation(self, now: float, other: Snapshot) -> None:
+        """Raise the own incarnation above one that others know, whose clock was ahead."""
+        self._record("incarnation_raised")
         self.own = self.own._replace(incarnation=other.incarnation + 1, sequence=0)
         self.version += 1
-        self._renew(now)
-        self._spread(now)
-
-    def _of_me(self, now: float, said: Said, dead: set[tuple[str, int, int]]) -> None:
-        """What others hold of this process's name."""
-        theirs, mine = said.snapshot, self.own
-        over = theirs.state == State.GONE or (theirs.name, theirs.incarnation, epoch(theirs)) in dead
-        if theirs.address == mine.address or over:
-            elsewhere = theirs.address != mine.address and theirs.incarnation >= mine.incarnation
-            if theirs.order > mine.order or elsewhere:
-                self._relive(now, theirs)
-        else:  # another process is known by this name: it is asked itself, whether it is there
-            self._once(now, theirs.address, Kind.PING)
-
-    def _rival(self, now: float, message: Message) -> None:
-        """Another process speaks under this one's name. The one that has lived longer keeps it; lives are
-        spans, so that clocks do not matter. Lives about as long go by the address, as text."""
-        address = message.me.snapshot.address
-        if self._fault(now, message.me):
-            return self._note("snapshots_dropped")
-        mine, theirs = now - self.began, message.lived
-        far = abs(mine - theirs) > MARGIN * self.period
-        older = mine > theirs if far else self.own.address < address
-        if older:
-            self._note("rival", self.own.name, address)
-            self._once(now, address, Kind.CONFLICT)
-        elif message.kind == Kind.CONFLICT:
+        self._renew_own(now)
+        self._send_urgently(now)
+
+    def _apply_own_announcement(
+        self, now: float, announcement: Announcement, dead: set[tuple[str, int, int]]
+    ) -> None:
+        """Handle a snapshot of this process's own name that others know."""
+        other, own = announcement.snapshot, self.own
+        has_ended = other.state == State.GONE or (other.name, other.incarnation, epoch(other)) in dead
+        if other.address == own.address or has_ended:
+            is_elsewhere = other.address != own.address and other.incarnation >= own.incarnation
+            if other.order > own.order or is_elsewhere:
+                self._raise_incarnation(now, other)
+        else:  # another process may use this name: ask it directly
+            self._send_once(now, other.address, MessageKind.PING)
+
+    def _resolve_name_conflict(self, now: float, message: Message) -> None:
+        """Handle a message of another process with this one's name.
+
+        The process with the longer uptime keeps the name, which does not depend on clocks. If the uptimes are
+        about equal, the smaller address decides.
+        """
+        address = message.sender.snapshot.address
+        if self._find_fault(now, message.sender):
+            return self._record("snapshots_dropped")
+        uptime, other_uptime = now - self.started_at, message.uptime
+        differs = abs(uptime - other_uptime) > UPTIME_MARGIN_PERIODS * self.period
+        is_older = uptime > other_uptime if differs else self.own.address < address
+        if is_older:
+            self._record("rival", self.own.name, address)
+            self._send_once(now, address, MessageKind.CONFLICT)
+        elif message.kind == MessageKind.CONFLICT:
             name = self.own.name
-            self.conflict = f"the name {name} is another process's, at {address}; give this one its own"
-            self.out.clear()
-            self._note("conflict", self.own.name, address)
+            self.conflict = (
+                f"the name {name} belongs to another process at {address}; give this one another name"
+            )
+            self.outbox.clear()
+            self._record("conflict", self.own.name, address)
         else:
-            self._once(now, address, Kind.PING)
+            self._send_once(now, address, MessageKind.PING)
+
+    def _check_stall(self, now: float) -> None:
+        """Detect a stall of this process.
 
-    def _woke(self, now: float) -> None:
-        """A process that stood still doubts itself first: nothing that was to be answered meanwhile counts,
-        suspicions get that time back, and what it reads now may be as old as the standstill."""
+        After a stall the running probe is dropped, suspicions are extended by its duration, and messages read
+        now may be as old as the stall.
+        """
         self.now = now
-        late = now - self.planned
-        if late <= LATE * self.period:
+        lateness = now - self.expected_at
+        if lateness <= STALL_PERIODS * self.period:
             return
-        self.planned = now
-        self._note("stood_still", "", f"{late:.3g} s")
-        self.lag, self.lag_until, self.woke_at = late, now + self.period, now
-        self.health = max(self.health, SHAKEN)
-        self.probe, self.probe_at = None, now + self.period
+        self.expected_at = now
+        self._record("stood_still", "", f"{lateness:.3g} s")
+        self.staleness, self.stale_until, self.resumed_at = lateness, now + self.period, now
+        self.health = max(self.health, STALL_HEALTH_SCORE)
+        self.probe, self.next_probe_at = None, now + self.period
         self.relays.clear()
-        for name in self.doubted:
-            if doubt := self.known[name].suspicion:
-                doubt.since += late + self.period  # what refutes it may stand unread
+        for name in self.suspected:
+            if suspicion := self.known[name].suspicion:
+                suspicion.since += lateness + self.period  # a refutation may be unread yet
 
-    def _unwell(self, by: int) -> None:
-        self.health = min(HEALTH_TOP, max(0, self.health + by))
+    def _adjust_health(self, by: int) -> None:
+        self.health = min(MAX_HEALTH_SCORE, max(0, self.health + by))
 
     # Probes.
 
-    def _probe_next(self) -> float:
+    def _next_probe_event_at(self) -> float:
         if self.probe is None:
-            return self.probe_at
-        return self.probe.over if self.probe.helpers else min(self.probe.through, self.probe.over)
+            return self.next_probe_at
+        return (
+            self.probe.expires_at
+            if self.probe.helpers
+            else min(self.probe.indirect_at, self.probe.expires_at)
+        )
 
-    def _probing(self, now: float) -> None:
+    def _advance_probe(self, now: float) -> None:
         probe = self.probe
-        if probe is not None and now >= probe.over:
-            self._unanswered(now, probe)
+        if probe is not None and now >= probe.expires_at:
+            self._probe_failed(now, probe)
             probe = None
-        if probe is not None and not probe.helpers and now >= probe.through:
-            self._ask_others(probe)
-        if self.probe is None and now >= self.probe_at:
-            self._begin(now)
+        if probe is not None and not probe.helpers and now >= probe.indirect_at:
+            self._probe_indirectly(probe)
+        if self.probe is None and now >= self.next_probe_at:
+            self._start_probe(now)
 
-    def _begin(self, now: float) -> None:
+    def _start_probe(self, now: float) -> None:
         span = self.period * (1 + self.health)
-        self.probe_at = now + span
-        while self.round or self._new_round():
-            known = self.known.get(self.round.pop())
-            if known is not None and known.stand in HERE:
+        self.next_probe_at = now + span
+        while self.probe_round or self._start_round():
+            known = self.known.get(self.probe_round.pop())
+            if known is not None and known.status in PRESENT_STATUSES:
                 break
         else:
             return
         self.number += 1
         name = known.figures.name
-        self.probe = Probe(name, self.number, now, now + SPEAKS * span, now + span)
-        self._send(known.figures.address, Kind.PING, known, self.number, name)
+        self.probe = Probe(name, self.number, now, now + DIRECT_PROBE_SHARE * span, now + span)
+        self._send(known.figures.address, MessageKind.PING, known, self.number, name)
 
-    def _new_round(self) -> bool:
-        self.round = sorted(one.figures.name for one in self.here())
-        self.rng.shuffle(self.round)
-        return bool(self.round)
+    def _start_round(self) -> bool:
+        self.probe_round = sorted(member.figures.name for member in self.present_members())
+        self.rng.shuffle(self.probe_round)
+        return bool(self.probe_round)
 
-    def _ask_others(self, probe: Probe) -> None:
+    def _probe_indirectly(self, probe: Probe) -> None:
         others = sorted(
-            one.figures.name for one in self.known.values()
-            if one.stand == Stand.SURE and one.figures.name != probe.name
+            member.figures.name for member in self.known.values()
+            if member.status == MemberStatus.SURE and member.figures.name != probe.name
         )  # fmt: skip
-        helpers = tuple(self.rng.sample(others, min(HELPERS, len(others))))
-        self.probe = probe._replace(helpers=helpers, through=probe.over)
+        helpers = tuple(self.rng.sample(others, min(INDIRECT_PROBES, len(others))))
+        self.probe = probe._replace(helpers=helpers, indirect_at=probe.expires_at)
         for name in helpers:
             helper = self.known[name]
-            self._send(helper.figures.address, Kind.ASK, helper, probe.number, probe.name)
+            self._send(helper.figures.address, MessageKind.PING_REQUEST, helper, probe.number, probe.name)
 
-    def _unanswered(self, now: float, probe: Probe) -> None:
-        """Its word to this process since then is an answer as well: its own way here may be the one that is
-        open."""
+    def _probe_failed(self, now: float, probe: Probe) -> None:
+        """Suspect a member that did not answer, unless any message of it arrived since the probe started."""
         self.probe = None
         known = self.known.get(probe.name)
-        if known is None or known.stand not in HERE:
+        if known is None or known.status not in PRESENT_STATUSES:
             return
-        if known.heard_at > probe.began:
-            return self._unwell(-1)
-        self._step(now, known, Event.UNANSWERED)  # by the health so far: this very probe is no sign of it yet
-        self._unwell(1 + sum(name not in probe.nacks for name in probe.helpers))
+        if known.received_at > probe.started_at:
+            return self._adjust_health(-1)
+        self._transition(now, known, Event.UNANSWERED)  # uses the health before this probe
+        self._adjust_health(1 + sum(name not in probe.nacks for name in probe.helpers))
 
-    def _answered(self, probe: Probe) -> None:
+    def _probe_succeeded(self, probe: Probe) -> None:
         self.probe = None
-        self._unwell(-1)
+        self._adjust_health(-1)
 
-    def _answer(self, now: float, known: Known, sender: str, message: Message) -> None:
-        """By the kind of a message of a member that is known."""
-        name, number, about = known.figures.name, message.number, message.about
+    def _respond(self, now: float, known: KnownMember, sender: str, message: Message) -> None:
+        """Respond to a message of a known member, by its kind."""
+        name, number, subject = known.figures.name, message.number, message.subject
         match message.kind:
-            case Kind.PING:
-                self._send(sender, Kind.ACK, known, number, self.own.name)
-            case Kind.ACK:
-                self._acked(name, number, about)
-            case Kind.ASK:
-                self._ask(now, known, number, about)
-            case Kind.NACK:
+            case MessageKind.PING:
+                self._send(sender, MessageKind.ACK, known, number, self.own.name)
+            case MessageKind.ACK:
+                self._receive_ack(name, number, subject)
+            case MessageKind.PING_REQUEST:
+                self._relay_ping(now, known, number, subject)
+            case MessageKind.NACK:
                 probe = self.probe
                 if probe is not None and number == probe.number and name in probe.helpers:
                     self.probe = probe._replace(nacks=probe.nacks | {name})
-            case Kind.PULL:
-                self._told_all(sender)
-
-    def _told_all(self, sender: str) -> None:
-        """Once a beat to each, and so many in all: a whole table is hundreds of times what asks for it, and
-        one link may ask in the names of many. Who is turned away asks again, and hears the news meanwhile."""
-        if sender in self.pulled or len(self.pulled) * len(self.known) >= TABLES:
-            return self._note("pulls_turned_away")
-        self.pulled.add(sender)
-        self._whole(sender, Kind.PUSH)
-
-    def _acked(self, name: str, number: int, about: str) -> None:
+            case MessageKind.PULL:
+                self._send_full_sync(sender)
+
+    def _send_full_sync(self, sender: str) -> None:
+        """Send the complete table, at most once in a period to each address and limited in total.
+
+        A table is hundreds of times larger than its request, and one link could send requests in many names.
+        A rejected requester retries later, and receives gossip meanwhile.
+        """
+        if sender in self.synced or len(self.synced) * len(self.known) >= MAX_SYNC_ENTRIES:
+            return self._record("pulls_turned_away")
+        self.synced.add(sender)
+        self._send_all(sender, MessageKind.PUSH)
+
+    def _receive_ack(self, name: str, number: int, subject: str) -> None:
         probe = self.probe
         if (
             probe is not None
-            and (number, about) == (probe.number, probe.name)
+            and (number, subject) == (probe.number, probe.name)
             and (name == probe.name or name in probe.helpers)
         ):
-            return self._answered(probe)
+            return self._probe_succeeded(probe)
         relay = self.relays.get(number)
-        if relay is not None and relay.about == name == about:
+        if relay is not None and relay.subject == name == subject:
             del self.relays[number]
-            self._send(relay.asker, Kind.ACK, None, relay.number, name)
+            self._send(relay.requester, MessageKind.ACK, None, relay.number, name)
 
-    def _ask(self, now: float, asker: Known, number: int, about: str) -> None:
-        """Ping for another, at the address that is known here; the asker names no address."""
-        known = self.known.get(about)
-        if known is None or known.stand not in HERE or len(self.relays) >= RELAYS:
-            return self._send(asker.figures.address, Kind.NACK, asker, number, about)
+    def _relay_ping(self, now: float, requester: KnownMember, number: int, subject: str) -> None:
+        """Ping a member for another one, at the address that is known here."""
+        known = self.known.get(subject)
+        if known is None or known.status not in PRESENT_STATUSES or len(self.relays) >= MAX_RELAYS:
+            return self._send(requester.figures.address, MessageKind.NACK, requester, number, subject)
         self.number += 1
-        self.relays[self.number] = Relay(asker.figures.address, number, about, now + ASKS * self.period)
-        self._send(known.figures.address, Kind.PING, known, self.number, about)
+        self.relays[self.number] = Relay(
+            requester.figures.address, number, subject, now + RELAYED_PING_PERIODS * self.period
+        )
+        self._send(known.figures.address, MessageKind.PING, known, self.number, subject)
 
-    def _relaying(self, now: float) -> None:
+    def _expire_relays(self, now: float) -> None:
         for number, relay in list(self.relays.items()):
-            if now >= relay.until:
+            if now >= relay.expires_at:
                 del self.relays[number]
-                self._send(relay.asker, Kind.NACK, None, relay.number, relay.about)
-
-    # What is told.
-
-    def _beat(self, now: float) -> None:
-        """Once a period."""
-        late = now - self.beat_at
-        self.beat_at = now + self.period - (late if late < self.period else 0.0)
-        self.beats += 1
-        self._renew(now)
-        self._stays(now)
-        self.pulled.clear()
-        self.told = {address: at for address, at in self.told.items() if now < at + self.period}
-        self._ask_seeds()
-        if self.beats % DEAD_ASKED == 0:
-            self._ask_dead()
+                self._send(relay.requester, MessageKind.NACK, None, relay.number, relay.subject)
+
+    # Sending.
+
+    def _run_period(self, now: float) -> None:
+        """Do the work of one period."""
+        lateness = now - self.next_period_at
+        self.next_period_at = now + self.period - (lateness if lateness < self.period else 0.0)
+        self.period_count += 1
+        self._renew_own(now)
+        self._expire_retention(now)
+        self.synced.clear()
+        self.corrected = {address: at for address, at in self.corrected.items() if now < at + self.period}
+        self._contact_seeds()
+        if self.period_count % DEAD_PING_PERIODS == 0:
+            self._ping_dead()
         if self.own.node:
-            self._mesh(now)
-
-    def _mesh(self, now: float) -> None:
-        """A node tells each other one of itself. Loads go to all in turn where they are many."""
-        nodes = sorted((one.figures.name, one.figures.address) for one in self.here() if one.figures.node)
+            self._send_to_nodes(now)
+
+    def _send_to_nodes(self, now: float) -> None:
+        """Send this node's snapshot to all other nodes; large loads go to some of them in turn."""
+        nodes = sorted(
+            (member.figures.name, member.figures.address)
+            for member in self.present_members()
+            if member.figures.node
+        )
         if not nodes:
             return
-        in_full = max(1, min(len(nodes), DETAIL // detail_cost(self.own)))
-        turn, self.turn = self.turn, (self.turn + in_full) % len(nodes)
-        full = {(turn + at) % len(nodes) for at in range(in_full)}
-        room = max(MESH_NEWS, NEWS // len(nodes))
-        items = self.fresh.pick(self.many(), room, self._item, len(nodes))
+        full_count = max(1, min(len(nodes), DETAIL_BYTES_PER_PERIOD // detail_size(self.own)))
+        offset, self.mesh_offset = self.mesh_offset, (self.mesh_offset + full_count) % len(nodes)
+        full_indexes = {(offset + at) % len(nodes) for at in range(full_count)}
+        max_bytes = max(MIN_MESH_GOSSIP_BYTES, GOSSIP_BYTES // len(nodes))
+        items = self.gossip.pick(self.member_count(), max_bytes, self._make_item_for, len(nodes))
         for at, (name, address) in enumerate(nodes):
-            layers = Layer.PARTS | Layer.DETAIL if at in full else Layer.PARTS
-            self._post(address, Kind.PUSH, items, to=self.known[name], layers=layers)
-
-    def _ask_seeds(self) -> None:
-        """Addresses where nobody is known to be, or whose member has not answered: one a beat, and some while
-        alone. They tell all; what is known here they hear by and by, as news."""
-        taken = {one.figures.address for one in self.here()}
-        empty = [seed for seed in self.seeds if seed not in taken or seed in self.unanswered_seeds]
-        for seed in self.rng.sample(empty, min(len(empty), 1 if taken else SEEDS)):
-            self._post(seed, Kind.PULL, [])
-
-    def _ask_dead(self) -> None:
-        """One of the dead hears that it is thought so; where it lives, it refutes."""
-        dead = sorted(one.figures.name for one in self.known.values() if one.stand == Stand.DEAD)
+            layers = SnapshotLayer.PARTS | SnapshotLayer.DETAIL if at in full_indexes else SnapshotLayer.PARTS
+            self._post(address, MessageKind.PUSH, items, to=self.known[name], layers=layers)
+
+    def _contact_seeds(self) -> None:
+        """Request a full synchronization from seeds without a known member, or that have not answered.
+
+        One seed in each period, several while no member is known.
+        """
+        used_addresses = {member.figures.address for member in self.present_members()}
+        unknown_seeds = [
+            seed for seed in self.seeds if seed not in used_addresses or seed in self.unanswered_seeds
+        ]
+        for seed in self.rng.sample(
+            unknown_seeds, min(len(unknown_seeds), 1 if used_addresses else SEEDS_WHILE_ALONE)
+        ):
+            self._post(seed, MessageKind.PULL, [])
+
+    def _ping_dead(self) -> None:
+        """Ping a random dead member, which refutes if it is alive."""
+        dead = sorted(
+            member.figures.name for member in self.known.values() if member.status == MemberStatus.DEAD
+        )
         if dead:
             known = self.known[self.rng.choice(dead)]
-            self._send(known.figures.address, Kind.PING, known, 0, known.figures.name)
-
-    def _pull(self, now: float) -> None:
-        many = self.many()
-        stretch = 1 + max(0, ceil(many / PULL_FLEET) - 1).bit_length()
-        self.pull_at = now + PULL * stretch * self.period * (0.75 + self.rng.random() / 2)
-        here = sorted(one.figures.name for one in self.here())
-        if here:
-            known = self.known[self.rng.choice(here)]
-            self._whole(known.figures.address, Kind.PULL)
-
-    def _whole(self, address: str, kind: Kind) -> None:
-        self._post(address, kind, [self._told_of(one) for one in self.known.values()])
-
-    def _spread(self, now: float) -> None:
-        """A change of this process goes to some at once, nodes first: they pass it on."""
-        here = sorted(self.here(), key=lambda one: one.figures.name)
-        self.rng.shuffle(here)
-        here.sort(key=lambda one: not one.figures.node)
-        for known in here[:FANOUT]:
-            self._post(known.figures.address, Kind.PUSH, [], to=known, layers=Layer.PARTS | Layer.DETAIL)
-
-    def _tell(self, now: float, address: str, known: Known) -> None:
-        """What is known of its own name, to whoever does not know it; once a period."""
-        if self._first(now, address):
-            self._post(address, Kind.PUSH, [self._told_of(known)])
-
-    def _once(self, now: float, address: str, kind: Kind) -> None:
-        if self._first(now, address):
-            self._post(address, kind, [], about=self.own.name)
-
-    def _first(self, now: float, address: str) -> bool:
-        if address in self.told or len(self.told) >= TELLINGS or address == self.own.address:
+            self._send(known.figures.address, MessageKind.PING, known, 0, known.figures.name)
+
+    def _request_full_sync(self, now: float) -> None:
+        count = self.member_count()
+        stretch = 1 + max(0, ceil(count / SYNC_STRETCH_MEMBERS) - 1).bit_length()
+        self.next_sync_at = now + SYNC_PERIODS * stretch * self.period * (0.75 + self.rng.random() / 2)
+        present = sorted(member.figures.name for member in self.present_members())
+        if present:
+            known = self.known[self.rng.choice(present)]
+            self._send_all(known.figures.address, MessageKind.PULL)
+
+    def _send_all(self, address: str, kind: MessageKind) -> None:
+        self._post(address, kind, [self._make_item(member) for member in self.known.values()])
+
+    def _send_urgently(self, now: float) -> None:
+        """Send a change of this process to some members at once, nodes first; they gossip it on."""
+        present = sorted(self.present_members(), key=lambda member: member.figures.name)
+        self.rng.shuffle(present)
+        present.sort(key=lambda member: not member.figures.node)
+        for known in present[:URGENT_FANOUT]:
+            self._post(
+                known.figures.address,
+                MessageKind.PUSH,
+                [],
+                to=known,
+                layers=SnapshotLayer.PARTS | SnapshotLayer.DETAIL,
+            )
+
+    def _send_correction(self, now: float, address: str, known: KnownMember) -> None:
+        """Send a member the newer snapshot of its name that is known here; once in a period."""
+        if self._may_correct(now, address):
+            self._post(address, MessageKind.PUSH, [self._make_item(known)])
+
+    def _send_once(self, now: float, address: str, kind: MessageKind) -> None:
+        if self._may_correct(now, address):
+            self._post(address, kind, [], subject=self.own.name)
+
+    def _may_correct(self, now: float, address: str) -> bool:
+        if address in self.corrected or len(self.corrected) >= MAX_CORRECTIONS or address == self.own.address:
             return False
-        self.told[address] = now
+        self.corrected[address] = now
         return True
 
-    def _send(self, address: str, kind: Kind, to: Known | None, number: int = 0, about: str = "") -> None:
-        """With news. Whoever is doubted hears that first."""
-        told = [to.figures.name] if to is not None else []
-        items = self.fresh.pick(self.many(), NEWS, self._item, without=told)
-        self._post(address, kind, items, number, about, to)
+    def _send(
+        self, address: str, kind: MessageKind, to: KnownMember | None, number: int = 0, subject: str = ""
+    ) -> None:
+        """Send a message with gossip; a suspected receiver is told of its suspicion first."""
+        excluded = [to.figures.name] if to is not None else []
+        items = self.gossip.pick(self.member_count(), GOSSIP_BYTES, self._make_item_for, excluded=excluded)
+        self._post(address, kind, items, number, subject, to)
 
     def _post(
-        self, address: str, kind: Kind, items: Sequence[Item], number: int = 0, about: str = "",
-        to: Known | None = None, layers: int = Layer.FIGURES,
-    ) -> None:  # fmt: skip
-        rumours = [rumour for item in items for rumour in item.rumours]
-        if to is not None and to.stand != Stand.SURE:
-            rumours[:0] = self._rumours(to)
-        whole = self.own if layers & Layer.DETAIL else brief(self.own)
-        if layers & Layer.PARTS:
-            whole = whole._replace(parts=self.own.parts)
-        me = Said(whole, max(0.0, self.now - self.said_at), layers)
-        said, lived = tuple(item.said for item in items), max(0.0, self.now - self.began)
-        self.out.append(Send(address, Message(kind, me, lived, number, about, said, tuple(rumours))))
-
-    def _item(self, name: str) -> Item | None:
+        self,
+        address: str,
+        kind: MessageKind,
+        items: Sequence[GossipItem],
+        number: int = 0,
+        subject: str = "",
+        to: KnownMember | None = None,
+        layers: int = SnapshotLayer.FIGURES,
+    ) -> None:
+        accusations = [accusation for item in items for accusation in item.accusations]
+        if to is not None and to.status != MemberStatus.SURE:
+            accusations[:0] = self._accusations(to)
+        snapshot = self.own if layers & SnapshotLayer.DETAIL else figures_only(self.own)
+        if layers & SnapshotLayer.PARTS:
+            snapshot = snapshot._replace(parts=self.own.parts)
+        sender = Announcement(snapshot, max(0.0, self.now - self.announced_at), layers)
+        announcements, uptime = (
+            tuple(item.announcement for item in items),
+            max(0.0, self.now - self.started_at),
+        )
+        self.outbox.append(
+            Send(address, Message(kind, sender, uptime, number, subject, announcements, tuple(accusations)))
+        )
+
+    def _make_item_for(self, name: str) -> GossipItem | None:
         known = self.known.get(name)
-        return None if known is None else self._told_of(known)
+        return None if known is None else self._make_item(known)
 
-    def _told_of(self, known: Known) -> Item:
-        return Item(Said(known.figures, max(0.0, self.now - known.at)), self._rumours(known))
+    def _make_item(self, known: KnownMember) -> GossipItem:
+        return GossipItem(
+            Announcement(known.figures, max(0.0, self.now - known.figures_at)), self._accusations(known)
+        )
 
-    def _rumours(self, known: Known) -> tuple[Rumour, ...]:
-        one = known.figures
-        if known.stand == Stand.DEAD:
-            return (Rumour(one.name, one.incarnation, known.epoch, Verdict.DEAD, self.own.name),)
+    def _accusations(self, known: KnownMember) -> tuple[Accusation, ...]:
+        member = known.figures
+        if known.status == MemberStatus.DEAD:
+            return (Accusation(member.name, member.incarnation, known.epoch, Verdict.DEAD, self.own.name),)
         if known.suspicion is None:
             return ()
         return tuple(
-            Rumour(one.name, one.incarnation, known.epoch, Verdict.SUSPECTED, by)
-            for by in sorted(known.suspicion.by)
+            Accusation(member.name, member.incarnation, known.epoch, Verdict.SUSPECTED, by)
+            for by in sorted(known.suspicion.accusers)
         )
 
-    def _note(self, what: str, name: str = "", why: str = "") -> None:
-        self.out.append(Noted(what, name, why))
+    def _record(self, event: str, name: str = "", reason: str = "") -> None:
+        self.outbox.append(LogEvent(event, name, reason))
 
 
-def backward(known: Known, new: Snapshot, event: Event) -> bool:
-    """Whether a later snapshot of one life says that it went back to an earlier state."""
+def is_backward(known: KnownMember, new: Snapshot, event: Event) -> bool:
+    """Whether a later snapshot of the same incarnation has an earlier state."""
     return event in (Event.NEWER, Event.REFUTATION) and new.state < known.figures.state
--- a/thymeyoke/membership/extension.py
+++ b/thymeyoke/membership/extension.py
@@ -1,8 +1,7 @@
-"""An app server among the members: it stands behind the desk, looks at the server a few times a second, and
-says what it saw.
+"""The extension that makes an app server a member: it polls the server's status and announces state and load.
 
-Cold until the processor is up and warm, serving, leaving from the notice on; farewell with the process's end.
-Without `[members]` this is never imported.
+The state is COLD until the processor is ready and the server warm, then SERVING, LEAVING from the shutdown
+notice on, and GONE at the end of the process. Imported only if the configuration has `[members]`.
 """
 
 from __future__ import annotations
@@ -14,7 +13,7 @@
 from anyio.streams.memory import MemoryObjectSendStream
 
 from thymeyoke.membership.configuration import Members
-from thymeyoke.membership.load import Figures, serves
+from thymeyoke.membership.load import ServerLoad, service_address
 from thymeyoke.membership.service import MembershipService, incarnation
 from thymeyoke.membership.view import Snapshot, State
 from thymeyoke.runtime import logs
@@ -29,113 +28,119 @@
 )
 from thymeyoke.runtime.mailbox import take_all
 
-LOOK = 0.25  # seconds between looks at the server
-LETTERS = 32
+STATUS_INTERVAL_SECONDS = 0.25  # between two status queries
+MAX_NOTIFICATIONS = 32  # in the inbox
 
-Letter = ServerStatus | DrainStarted | ConfigurationChanged
+Notification = ServerStatus | DrainStarted | ConfigurationChanged
 
 
 class MembershipExtension:
-    """Stands behind the desk while the operators' file has `[members]`."""
+    """The membership extension of an app server."""
 
     name = "members"
     observes_requests, extends_drain = False, False
 
-    def __init__(self, told: Members, around: ExtensionContext) -> None:
-        self.told, self.around = told, around
-        self.desk: MemoryObjectSendStream[StatusQuery] = around.dispatcher
-        self.outbox, self.letters = anyio.create_memory_object_stream[Letter](LETTERS)
-        self.figures = Figures(clock())
-        self.fleet = self._begun(told, State.COLD)
-        self.over = self.anew = False  # the section is gone; it stands at another address
+    def __init__(self, config: Members, context: ExtensionContext) -> None:
+        self.config, self.context = config, context
+        self.dispatcher: MemoryObjectSendStream[StatusQuery] = context.dispatcher
+        self.outbox, self.inbox = anyio.create_memory_object_stream[Notification](MAX_NOTIFICATIONS)
+        self.load = ServerLoad(clock())
+        self.service = self._make_service(config, State.COLD)
+        self.is_removed = self.must_restart = False  # the section was removed; its address has changed
 
-    def _begun(self, told: Members, state: State) -> MembershipService:
-        around, where = self.around, serves(*self.around.listen)
+    def _make_service(self, config: Members, state: State) -> MembershipService:
+        context, address = self.context, service_address(*self.context.listen)
         return MembershipService(
-            told, Snapshot(around.name, False, incarnation(), 0, state, "", where), around.seed
+            config, Snapshot(context.name, False, incarnation(), 0, state, "", address), context.seed
         )
 
-    # The seam.
+    # Interface of extensions.
 
-    def notify(self, what: Letter) -> None:
+    def notify(self, notification: Notification) -> None:
+        """Queue a notification; dropped and counted if the inbox is full."""
         try:
-            self.outbox.send_nowait(what)
+            self.outbox.send_nowait(notification)
         except anyio.WouldBlock:
             logs.counters["members_letters_full"] += 1
         except (anyio.BrokenResourceError, anyio.ClosedResourceError):
             pass
 
     def close(self) -> None:
+        """Close the inbox."""
         self.outbox.close()
-        self.letters.close()
+        self.inbox.close()
 
     async def run(self) -> None:
-        while not self.over:
+        """Run until the section is removed; a change of address restarts the membership."""
+        while not self.is_removed:
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(self.fleet.run)
-                await self._look()
-                self.fleet.leave()  # its run ends by itself, with its farewell
-            if self.anew:
-                self.anew, state = False, self.fleet.membership.own.state
-                self.fleet = self._begun(self.told, min(state, State.LEAVING))
-                self.figures.say(clock(), self.fleet.say)
+                tasks.start_soon(self.service.run)
+                await self._poll_status()
+                self.service.leave()  # `run` then sends its farewell and ends
+            if self.must_restart:
+                self.must_restart, state = False, self.service.membership.own.state
+                self.service = self._make_service(self.config, min(state, State.LEAVING))
+                self.load.announce(clock(), self.service.announce)
         self.close()
 
-    async def _look(self) -> None:
-        look_at = clock()
-        while not (self.over or self.anew):
+    async def _poll_status(self) -> None:
+        next_query_at = clock()
+        while not (self.is_removed or self.must_restart):
             now = clock()
-            if now >= look_at:
-                look_at = now + LOOK
-                self._ask(now)
-            with anyio.move_on_after(max(0.0, look_at - clock())):
-                self._hear(await self.letters.receive())
-            for letter in take_all(self.letters):
-                self._hear(letter)
-
-    def _ask(self, now: float) -> None:
-        if self.figures.asked(now):
+            if now >= next_query_at:
+                next_query_at = now + STATUS_INTERVAL_SECONDS
+                self._query_status(now)
+            with anyio.move_on_after(max(0.0, next_query_at - clock())):
+                self._handle(await self.inbox.receive())
+            for notification in take_all(self.inbox):
+                self._handle(notification)
+
+    def _query_status(self, now: float) -> None:
+        if self.load.query_sent(now):
             logs.counters["members_late_looks"] += 1
-            self.figures.say(now, self.fleet.say)
+            self.load.announce(now, self.service.announce)
         with suppress(anyio.WouldBlock, anyio.BrokenResourceError, anyio.ClosedResourceError):
-            self.desk.send_nowait(StatusQuery(self))
+            self.dispatcher.send_nowait(StatusQuery(self))
 
-    def _hear(self, letter: Letter) -> None:
+    def _handle(self, notification: Notification) -> None:
         now = clock()
-        match letter:
+        match notification:
             case ServerStatus():
-                self.figures.look(now, letter, logs.counters["connections_accepted"])
-                self.figures.say(now, self.fleet.say)
+                self.load.update(now, notification, logs.counters["connections_accepted"])
+                self.load.announce(now, self.service.announce)
             case DrainStarted():
-                self.figures.leaves()
-                self.figures.say(now, self.fleet.say)
+                self.load.start_draining()
+                self.load.announce(now, self.service.announce)
             case ConfigurationChanged(section):
-                self._reform(section)
+                self._reconfigure(section)
 
-    def _reform(self, told: Members | None) -> None:
-        if told is None:
-            self.over = True
+    def _reconfigure(self, config: Members | None) -> None:
+        if config is None:
+            self.is_removed = True
             return
-        old, self.told = self.told, told
-        if (old.address, old.advertise, old.fleet) != (told.address, told.advertise, told.fleet):
-            self.anew = True  # a farewell there, and another life here
-        elif old != told:
-            self.fleet.reform(told)
+        old, self.config = self.config, config
+        if (old.address, old.advertise, old.fleet) != (config.address, config.advertise, config.fleet):
+            self.must_restart = True  # leaves with a farewell and joins as a new incarnation
+        elif old != config:
+            self.service.reconfigure(config)
 
 
-def check_host(told: Members) -> None:
-    """Whether this machine has that address; `Refused` else. The port may still be its own."""
-    ip = told.address.ip
+def check_host(config: Members) -> None:
+    """Raise `HostConfigurationError` if this machine does not have the configured IP address.
+
+    The port is not checked, as the running process may be using it.
+    """
+    ip = config.address.ip
     family = socket.AF_INET if ip.version == 4 else socket.AF_INET6
     with socket.socket(family, socket.SOCK_STREAM) as sock:
         try:
             sock.bind((str(ip), 0))
         except OSError as error:
             raise HostConfigurationError(
-                f"[members] address: this machine refuses {ip} ({error.strerror}); give one of "
-                f"its own addresses"
+                f"[members] address: cannot bind to {ip} ({error.strerror}); use an address of this machine"
             ) from None
 
 
-def create_extension(told: Members, around: ExtensionContext) -> MembershipExtension:
-    return MembershipExtension(told, around)
+def create_extension(config: Members, context: ExtensionContext) -> MembershipExtension:
+    """Create the extension for an app server."""
+    return MembershipExtension(config, context)
--- a/thymeyoke/membership/gossip.py
+++ b/thymeyoke/membership/gossip.py
@@ -1,8 +1,7 @@
-"""What members tell each other, as values, and which news goes next.
+"""Messages between members, and the queue of updates to gossip. Pure.
 
-Pure. News is told a bounded number of times, by the logarithm of the members, those told least first: what
-changes a view (a life, a state, a trust) before figures. `Fresh` is emptied as news has been told often
-enough, and as members are forgotten.
+Each update is sent a bounded number of times, proportional to the logarithm of the number of members, least
+sent first. Updates that change a view (incarnation, state, trust) precede load figures.
 """
 
 from __future__ import annotations
@@ -13,129 +12,148 @@
 from math import ceil, log2
 from typing import NamedTuple
 
-from thymeyoke.membership.failure_detector import Said
+from thymeyoke.membership.failure_detector import Announcement
 from thymeyoke.membership.view import Snapshot
 
-NEWS = 4000  # octets of others' news that ride on one message, about
-MESH_NEWS = 500  # at least so many on what a node tells each other one; together about as many as on one
-SAID_COST, RUMOUR_COST = 72, 28  # octets of a snapshot without its texts, and of a rumour without its names
-LOAD_COST = 24
-ROUNDS = 3  # times log2 of the members that a piece of news is told
+GOSSIP_BYTES = 4000  # approximate size of the updates that one message carries
+MIN_MESH_GOSSIP_BYTES = 500  # per message to another node; all of a period share about GOSSIP_BYTES
+SNAPSHOT_BYTES, ACCUSATION_BYTES = 72, 28  # approximate sizes without names and addresses
+LOAD_BYTES = 24  # approximate size of a tenant's load without its name
+TRANSMISSION_FACTOR = 3  # an update is sent this many times log2 of the number of members
 
 
 class Verdict(IntEnum):
+    """What an accusation claims about a member."""
+
     SUSPECTED = 0
     DEAD = 1
 
 
-class Rumour(NamedTuple):
-    """What a member makes of another one's life, at one epoch of it: a higher one refutes it."""
+class Accusation(NamedTuple):
+    """A member's verdict on another one's incarnation at one epoch; a higher epoch refutes it."""
 
     name: str
     incarnation: int
     epoch: int
     verdict: Verdict
-    by: str  # who says so first
+    accuser: str  # the member that first reached the verdict
+
 
+class MessageKind(IntEnum):
+    """Kinds of messages between members."""
 
-class Kind(IntEnum):
-    PUSH = 0  # news alone
+    PUSH = 0  # updates only
     PING = 1
-    ACK = 2
-    ASK = 3  # ping that one for me
-    NACK = 4  # it did not answer me either
-    PULL = 5  # all that I know; tell me all that you know
-    CONFLICT = 6  # your name is mine
+    ACK = 2  # answers a ping
+    PING_REQUEST = 3  # asks the receiver to ping a third member
+    NACK = 4  # the third member did not answer the receiver either
+    PULL = 5  # carries the sender's complete table and requests the receiver's
+    CONFLICT = 6  # the receiver uses the sender's name
 
 
 class Message(NamedTuple):
-    kind: Kind
-    me: Said  # who speaks, as it says
-    lived: float  # seconds that it has lived
-    number: int = 0  # of a ping, and of what answers it
-    about: str = ""  # whom a ping, an ack, an ask or a nack is about
-    said: tuple[Said, ...] = ()
-    rumours: tuple[Rumour, ...] = ()
+    """A message from one member to another."""
+
+    kind: MessageKind
+    sender: Announcement
+    uptime: float  # seconds since the sender started
+    number: int = 0  # of a ping, and of the messages that answer it
+    subject: str = ""  # name of the member that a ping, its answer or a ping request is about
+    announcements: tuple[Announcement, ...] = ()
+    accusations: tuple[Accusation, ...] = ()
 
 
 class Send(NamedTuple):
-    """To one address, at once; it may be lost."""
+    """Send a message to an address now; it may be lost."""
 
-    to: str
+    address: str
     message: Message
 
 
-class Noted(NamedTuple):
-    """Something to count, and to log where it names somebody. `what` is a word of the code."""
+class LogEvent(NamedTuple):
+    """An event to count and, if it is one of those that are logged, to log."""
 
-    what: str
+    event: str
     name: str = ""
-    why: str = ""
+    reason: str = ""
+
 
+Action = Send | LogEvent
 
-Action = Send | Noted
 
+def snapshot_size(snapshot: Snapshot) -> int:
+    """Approximate encoded size of a snapshot's basic fields, in bytes."""
+    return SNAPSHOT_BYTES + len(snapshot.name) + len(snapshot.address) + len(snapshot.serves)
 
-def cost(snapshot: Snapshot) -> int:
-    """Octets that its figures take on the way, about."""
-    return SAID_COST + len(snapshot.name) + len(snapshot.address) + len(snapshot.serves)
 
+def detail_size(snapshot: Snapshot) -> int:
+    """Approximate encoded size of a snapshot's loads and held tenants, in bytes."""
+    loads = sum(LOAD_BYTES + len(load.tenant) for load in snapshot.loads)
+    return LOAD_BYTES + loads + sum(2 + len(tenant) for tenant in snapshot.holds)
 
-def detail_cost(snapshot: Snapshot) -> int:
-    """Octets that its loads and what it holds take besides, about."""
-    loads = sum(LOAD_COST + len(load.tenant) for load in snapshot.loads)
-    return LOAD_COST + loads + sum(2 + len(tenant) for tenant in snapshot.holds)
 
+class GossipItem(NamedTuple):
+    """The update about one member, as it is sent."""
 
-class Item(NamedTuple):
-    said: Said
-    rumours: tuple[Rumour, ...]
+    announcement: Announcement
+    accusations: tuple[Accusation, ...]
 
     @property
-    def cost(self) -> int:
-        said = cost(self.said.snapshot)
-        if not self.rumours:
-            return said
-        return said + sum(RUMOUR_COST + len(one.name) + len(one.by) for one in self.rumours)
+    def size(self) -> int:
+        """Approximate encoded size in bytes."""
+        size = snapshot_size(self.announcement.snapshot)
+        if not self.accusations:
+            return size
+        return size + sum(
+            ACCUSATION_BYTES + len(accusation.name) + len(accusation.accuser)
+            for accusation in self.accusations
+        )
 
 
-class Fresh:
-    """News that is still to be told: by member, how often it was and whether it can wait."""
+class GossipQueue:
+    """The members whose updates are still to be sent, with their numbers of transmissions so far."""
 
     def __init__(self) -> None:
-        self.told: dict[str, tuple[bool, int]] = {}  # (can wait, times told)
+        self.transmissions: dict[str, tuple[bool, int]] = {}  # by name: (can wait, times sent)
 
-    def put(self, name: str, waits: bool) -> None:
-        """News of this member, from now on. Figures do not make a change wait that is still on its way."""
-        before = self.told.get(name)
-        if waits and before and not before[0]:
+    def put(self, name: str, can_wait: bool) -> None:
+        """Queue an update about a member; load figures (`can_wait`) do not delay a queued state change."""
+        before = self.transmissions.get(name)
+        if can_wait and before and not before[0]:
             return
-        self.told[name] = (waits, 0)
+        self.transmissions[name] = (can_wait, 0)
 
-    def drop(self, name: str) -> None:
-        self.told.pop(name, None)
+    def remove(self, name: str) -> None:
+        """Remove a member's update, if queued."""
+        self.transmissions.pop(name, None)
 
     def pick(
-        self, many: int, room: int, item: Callable[[str], Item | None], times: int = 1,
-        without: Iterable[str] = (),
-    ) -> list[Item]:  # fmt: skip
-        """What goes on a message that is told `times` times, in `room` octets; `many`: members there."""
-        limit, left_out = ceil(ROUNDS * log2(many + 2)), set(without)
-        most = NEWS // SAID_COST  # looked at, also for less room: some may be too large for it
-        picked: list[Item] = []
-        for name, (waits, told) in nsmallest(most, self.told.items(), key=lambda pair: pair[1]):
-            one = item(name)
-            if one is None:
-                self.drop(name)
+        self,
+        member_count: int,
+        max_bytes: int,
+        make_item: Callable[[str], GossipItem | None],
+        copies: int = 1,
+        excluded: Iterable[str] = (),
+    ) -> list[GossipItem]:
+        """Select updates of at most `max_bytes` for a message that is sent to `copies` members."""
+        limit, excluded_names = ceil(TRANSMISSION_FACTOR * log2(member_count + 2)), set(excluded)
+        max_items = GOSSIP_BYTES // SNAPSHOT_BYTES  # considered even for few bytes, as some may not fit
+        picked: list[GossipItem] = []
+        for name, (can_wait, sent) in nsmallest(
+            max_items, self.transmissions.items(), key=lambda pair: pair[1]
+        ):
+            item = make_item(name)
+            if item is None:
+                self.remove(name)
                 continue
-            if name in left_out:
+            if name in excluded_names:
                 continue
-            if (octets := one.cost) > room:
-                continue  # it holds up no other: a suspicion by several can be over MESH_NEWS
-            room -= octets
-            picked.append(one)
-            if told + times >= limit:
-                self.drop(name)
+            if (size := item.size) > max_bytes:
+                continue  # does not block smaller ones: several accusations may exceed MIN_MESH_GOSSIP_BYTES
+            max_bytes -= size
+            picked.append(item)
+            if sent + copies >= limit:
+                self.remove(name)
             else:
-                self.told[name] = (waits, told + times)
+                self.transmissions[name] = (can_wait, sent + copies)
         return picked
--- a/thymeyoke/membership/load.py
+++ b/thymeyoke/membership/load.py
@@ -1,4 +1,4 @@
-"""What an app server says of itself: looks at it in, fields of a snapshot out. Pure."""
+"""The load that an app server reports: from the server's status to fields of its snapshot. Pure."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 if TYPE_CHECKING:
     from thymeyoke.runtime.extensions import ServerStatus
 
-CALM = 2.0  # seconds over which connections opened are told as a rate
+RATE_AVERAGING_SECONDS = 2.0  # time constant of the rate of opened connections
 
 
-def serves(host: str, port: int) -> str:
-    """Where ops come in, as members write an address; empty where the start file names no address."""
+def service_address(host: str, port: int) -> str:
+    """The address of requests in canonical form; "" if it has no IP address or port."""
     try:
         ip = ip_address(host.strip("[]"))
     except ValueError:
@@ -24,46 +24,56 @@
     return "" if not port else f"[{ip}]:{port}" if ip.version == 6 else f"{ip}:{port}"
 
 
-class Figures:
-    """`look` as the desk answers, `leaves` with its notice; `fields` is what there is to say."""
+class ServerLoad:
+    """State and load of this app server, updated from its status."""
 
     def __init__(self, now: float) -> None:
         self.state = State.COLD
-        self.standing: ServerStatus | None = None
-        self.opened, self.accepted, self.at = 0.0, -1, now
-        self.awaited = False  # asked, and not yet answered
-
-    def asked(self, now: float) -> bool:
-        """It is asked now; whether the question before is still unanswered."""
-        late, self.awaited = self.awaited, True
-        return late and now > self.at
-
-    def look(self, now: float, standing: ServerStatus, accepted: int) -> None:
-        """`accepted`: connections so far, since the process began."""
-        span = max(0.0, now - self.at)
+        self.status: ServerStatus | None = None
+        self.open_rate, self.accepted, self.updated_at = 0.0, -1, now
+        self.is_query_pending = False  # a status was requested and not received yet
+
+    def query_sent(self, now: float) -> bool:
+        """Note a status query; returns whether the previous one is still unanswered."""
+        was_pending, self.is_query_pending = self.is_query_pending, True
+        return was_pending and now > self.updated_at
+
+    def update(self, now: float, status: ServerStatus, accepted: int) -> None:
+        """Apply a status; `accepted`: connections accepted since the process started."""
+        span = max(0.0, now - self.updated_at)
         if self.accepted >= 0 and span > 0:
             rate = max(0, accepted - self.accepted) / span
-            self.opened += (rate - self.opened) * (1 - exp(-span / CALM))
-        self.standing, self.accepted, self.at, self.awaited = standing, accepted, now, False
-        if standing.is_ready and now >= standing.warm_at:
+            self.open_rate += (rate - self.open_rate) * (1 - exp(-span / RATE_AVERAGING_SECONDS))
+        self.status, self.accepted, self.updated_at, self.is_query_pending = status, accepted, now, False
+        if status.is_ready and now >= status.warm_at:
             self.state = max(self.state, State.SERVING)
 
-    def leaves(self) -> None:
+    def start_draining(self) -> None:
+        """Note that the server drains."""
         self.state = max(self.state, State.LEAVING)
 
     def fields(self, now: float) -> dict[str, Any]:
-        """No room where it takes nothing new, where its processor is away, and where the desk does not answer
-        in time: what is not known is not offered."""
-        look = self.standing
-        if look is None:
+        """The fields of this server's snapshot.
+
+        No free capacity is reported if the server accepts nothing new, its processor is not connected, or
+        its status is outdated.
+        """
+        status = self.status
+        if status is None:
             return {"state": self.state, "room": 0}
-        takes = (
+        accepts = (
             self.state == State.SERVING
-            and look.is_processor_connected
-            and not (self.awaited and now > self.at + CALM)
+            and status.is_processor_connected
+            and not (self.is_query_pending and now > self.updated_at + RATE_AVERAGING_SECONDS)
         )
-        room = max(0, look.max_connections - look.connections) if takes else 0
-        return {"state": self.state, "connections": look.connections, "opened": self.opened, "room": room}
+        room = max(0, status.max_connections - status.connections) if accepts else 0
+        return {
+            "state": self.state,
+            "connections": status.connections,
+            "opened": self.open_rate,
+            "room": room,
+        }
 
-    def say(self, now: float, say: Callable[..., None]) -> None:
-        say(**self.fields(now))
+    def announce(self, now: float, announce: Callable[..., None]) -> None:
+        """Pass the fields of the snapshot to `announce`."""
+        announce(**self.fields(now))
--- a/thymeyoke/membership/service.py
+++ b/thymeyoke/membership/service.py
@@ -1,7 +1,7 @@
-"""One process among the members: it listens, tells and hears, and asks the decisions.
+"""Runs the membership of one process: connects the pure `Membership` with its sockets (`Links`).
 
-`Membership` alone decides; `Links` carries its messages. Other subsystems have words of their own on the
-same links: `send` and `hear`. Nothing here waits for a peer.
+Other subsystems send messages on channels of their own over the same links: `send` and `add_receiver`.
+Nothing here waits for a peer.
 """
 
 from __future__ import annotations
@@ -16,213 +16,241 @@
 from thymeyoke.membership import wire
 from thymeyoke.membership.configuration import Members
 from thymeyoke.membership.controller import Membership
-from thymeyoke.membership.failure_detector import HERE
-from thymeyoke.membership.gossip import Action, Noted, Send
-from thymeyoke.membership.transport import NODE, SERVER, Links, last_words
+from thymeyoke.membership.failure_detector import PRESENT_STATUSES
+from thymeyoke.membership.gossip import Action, LogEvent, Send
+from thymeyoke.membership.transport import NODE_LINKS, SERVER_LINKS, Links, send_farewells
 from thymeyoke.membership.view import Snapshot, View
 from thymeyoke.runtime import logs, msgpack_rpc
 from thymeyoke.runtime.clock import clock
 from thymeyoke.runtime.invariants import check_invariant
 
-TOLD = {"now_unsure": logging.INFO, "now_dead": logging.WARNING, "now_gone": logging.INFO,
+LOGGED_EVENTS = {"now_unsure": logging.INFO, "now_dead": logging.WARNING, "now_gone": logging.INFO,
         "stood_still": logging.WARNING, "refuted": logging.INFO, "conflict": logging.ERROR,
         "incarnation_raised": logging.WARNING}  # fmt: skip
-BY_PEERS = ("snapshots_dropped", "another_address", "rival", "misplaced")
+PEER_FAULT_EVENTS = ("snapshots_dropped", "another_address", "rival", "misplaced")
 
-Take = Callable[[str, bytes], None]
+Receiver = Callable[[str, bytes], None]
 
 
 def incarnation() -> int:
-    """Of a life that begins now: milliseconds by this process's clock. Where a life before it took a higher
-    one, the membership goes above that."""
+    """The incarnation of a process that starts now: milliseconds of the clock.
+
+    If an earlier process with the same name had a higher one, `Membership` raises it.
+    """
     return int(clock() * 1000)
 
 
 class MembershipService:
-    """`own`: what this process says of itself at first; its address is the section's. `ears` has one entry a
-    subsystem. `conflict` is one sentence once another process keeps this one's name: it is mute then.
+    """The membership of this process, for its other subsystems.
 
-    `view` and `say` may be called before `run`; `run` may be begun again after an error."""
+    `view` and `announce` may be called before `run`; `run` may be called again after an error.
+    """
 
-    def __init__(self, told: Members, own: Snapshot, seed: int) -> None:
-        self.told = told
-        address = str(told.advertise or told.address)
+    def __init__(self, config: Members, own: Snapshot, seed: int) -> None:
+        """`own`: this process's initial snapshot; its address is replaced by the configured one."""
+        self.config = config
+        address = str(config.advertise or config.address)
         self.membership = Membership(
-            clock(), own._replace(address=address), tuple(map(str, told.others)), Random(seed), told.period
+            clock(),
+            own._replace(address=address),
+            tuple(map(str, config.others)),
+            Random(seed),
+            config.period,
         )
-        self.changed: Callable[[], None] = lambda: None  # the view's version moved
-        self.ears: dict[str, Take] = {}
-        self.links = self._linked()
-        self.stirred = anyio.Event()
-        self.over = self.said_farewell = False
+        self.changed: Callable[[], None] = lambda: None  # called when the view's version has changed
+        self.receivers: dict[str, Receiver] = {}
+        self.links = self._make_links()
+        self.wakeup = anyio.Event()
+        self.is_leaving = self.has_sent_farewell = False
         self.version = self.membership.version
 
-    def _linked(self) -> Links:
-        own, told = self.membership.own, self.told
-        badge = wire.Badge(told.fleet, wire.key(told.key), own.name, own.address)
-        bounds = NODE if own.node else SERVER
-        return Links(bounds, told.period, badge, self._take, self._refused)
+    def _make_links(self) -> Links:
+        own, config = self.membership.own, self.config
+        credentials = wire.Credentials(config.fleet, wire.derive_key(config.key), own.name, own.address)
+        limits = NODE_LINKS if own.node else SERVER_LINKS
+        return Links(limits, config.period, credentials, self._receive_message, self._connect_refused)
 
     # For other subsystems.
 
     @property
     def conflict(self) -> str:
+        """Error message if another process owns this one's name, else ""; this process is silent then."""
         return self.membership.conflict
 
     def view(self) -> View:
+        """The current view of the fleet."""
         return self.membership.view(clock())
 
-    def say(self, **figures: Any) -> None:
-        """Fields of this process's `Snapshot`, new. A change of `state`, `serves` or `holds` goes out at
-        once, the rest on the next beat."""
-        self.membership.say(clock(), self.membership.wanted._replace(**figures))
-        self._stir()
+    def announce(self, **figures: Any) -> None:
+        """Update fields of this process's `Snapshot`.
+
+        Changes of `state`, `serves` and `holds` are sent at once, others with the next period.
+        """
+        self.membership.announce(clock(), self.membership.pending_own._replace(**figures))
+        self._wake()
 
-    def hear(self, word: str, take: Take) -> None:
-        """`take(name, body)` for each message of this word by a member that is there. Not `members`."""
-        check_invariant(word != wire.WORD and 0 < len(word) <= wire.WORD_MOST, "members_word", word=word)
-        self.ears[word] = take
+    def add_receiver(self, channel: str, receiver: Receiver) -> None:
+        """Call `receiver(name, body)` for each message of a present member on another channel."""
+        check_invariant(
+            channel != wire.CHANNEL and 0 < len(channel) <= wire.MAX_CHANNEL_LENGTH,
+            "members_word",
+            word=channel,
+        )
+        self.receivers[channel] = receiver
 
-    def send(self, name: str, word: str, body: bytes) -> bool:
-        """To one member, straight. Never waits; False where it is not there, its mailbox is full, or the
-        body is over `wire.BODY_MOST` octets. True is no promise: it may be lost with a link."""
+    def send(self, name: str, channel: str, body: bytes) -> bool:
+        """Send a message to one member without waiting; it may be lost.
+
+        Returns False if the member is not present, its outbox is full, or the body exceeds
+        `wire.MAX_BODY_BYTES`.
+        """
         known = self.membership.known.get(name)
-        if known is None or known.stand not in HERE or len(body) > wire.BODY_MOST or self.membership.mute:
+        if (
+            known is None
+            or known.status not in PRESENT_STATUSES
+            or len(body) > wire.MAX_BODY_BYTES
+            or self.membership.is_silent
+        ):
             logs.counters["members_words_unsent"] += 1
             return False
-        went = self.links.tell(known.figures.address, wire.notifications(word, body, self.links.badge))
-        logs.counters["members_words_out" if went else "members_words_unsent"] += 1
-        return went
+        is_queued = self.links.send(
+            known.figures.address, wire.encode_notifications(channel, body, self.links.credentials)
+        )
+        logs.counters["members_words_out" if is_queued else "members_words_unsent"] += 1
+        return is_queued
+
+    def last_stall(self) -> tuple[float, float]:
+        """When this process last resumed from a stall (minus infinity: never), and its duration in seconds.
 
-    def stood(self) -> tuple[float, float]:
-        """When this process last woke from a standstill (minus infinity: never), and how many seconds old
-        what it read then may have been."""
-        return self.membership.stood(clock())
+        Messages read just after it may be as old as the duration.
+        """
+        return self.membership.last_stall(clock())
 
     def leave(self) -> None:
-        """Say farewell; `run` ends with it."""
-        self.over = True
-        self._stir()
+        """Leave the fleet: `run` sends a farewell and ends."""
+        self.is_leaving = True
+        self._wake()
 
-    def reform(self, told: Members) -> None:
-        """The section, read anew, at the same address: what is known stays."""
+    def reconfigure(self, config: Members) -> None:
+        """Apply a changed configuration with the same address; all knowledge of members is kept."""
         check_invariant(
-            told.address == self.told.address and told.advertise == self.told.advertise, "members_address"
+            config.address == self.config.address and config.advertise == self.config.advertise,
+            "members_address",
         )
-        old, self.told = self.told, told
-        self.membership.change(clock(), tuple(map(str, told.others)), told.period)
-        if (old.fleet, old.key, old.period) != (told.fleet, told.key, told.period):
-            self.links.badge = self._linked().badge
-            self.links.period = told.period
-            scopes = [link.scope for link in self.links.out.values()]
-            scopes += [link.scope for link in self.links.into]
+        old, self.config = self.config, config
+        self.membership.reconfigure(clock(), tuple(map(str, config.others)), config.period)
+        if (old.fleet, old.key, old.period) != (config.fleet, config.key, config.period):
+            self.links.credentials = self._make_links().credentials
+            self.links.period = config.period
+            scopes = [link.scope for link in self.links.outbound.values()]
+            scopes += [link.scope for link in self.links.inbound]
             for scope in scopes:
-                scope.cancel()  # they began with what held before
-        self._stir()
+                scope.cancel()  # links use the previous settings
+        self._wake()
 
     # Running.
 
     async def run(self) -> None:
-        """Until `leave`; OSError where the address cannot be listened on."""
-        self.membership.begin(clock())
-        self.links = self._linked()
-        left = False
+        """Run until `leave` is called; raises OSError if the address cannot be listened on."""
+        self.membership.start(clock())
+        self.links = self._make_links()
+        has_ended = False
         try:
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(self.links.run, str(self.told.address.ip), self.told.address.port)
-                await self._go()
+                tasks.start_soon(self.links.run, str(self.config.address.ip), self.config.address.port)
+                await self._run_loop()
                 tasks.cancel_scope.cancel()
-            left = True
+            has_ended = True
         except anyio.get_cancelled_exc_class():
-            left = True
+            has_ended = True
             raise
         finally:
-            if left:
-                await self._farewell()
+            if has_ended:
+                await self._send_farewell()
 
-    async def _go(self) -> None:
-        while not self.over:
+    async def _run_loop(self) -> None:
+        while not self.is_leaving:
             now = clock()
-            with anyio.move_on_after(max(0.0, self.membership.next(now) - now)):
-                await self.stirred.wait()
-            self.stirred = anyio.Event()
-            self._carry(self.membership.settle(clock()))
-
-    async def _farewell(self) -> None:
-        """On connections of its own: those that were open went with the tasks."""
-        if self.said_farewell or self.membership.mute:
+            with anyio.move_on_after(max(0.0, self.membership.next_advance_at(now) - now)):
+                await self.wakeup.wait()
+            self.wakeup = anyio.Event()
+            self._execute(self.membership.advance(clock()))
+
+    async def _send_farewell(self) -> None:
+        """Send farewells on separate connections, as the links are already closed."""
+        if self.has_sent_farewell or self.membership.is_silent:
             return
-        self.said_farewell = True
+        self.has_sent_farewell = True
         now = clock()
         self.membership.leave(now)
-        sends = [one for one in self.membership.settle(now) if isinstance(one, Send)]
-        await last_words([(send.to, self._letter(send)) for send in sends], self.told.period)
+        sends = [one for one in self.membership.advance(now) if isinstance(one, Send)]
+        await send_farewells([(send.address, self._encode(send)) for send in sends], self.config.period)
 
-    def _stir(self) -> None:
-        self.stirred.set()
+    def _wake(self) -> None:
+        self.wakeup.set()
 
-    def _carry(self, actions: list[Action]) -> None:
+    def _execute(self, actions: list[Action]) -> None:
         for action in actions:
             match action:
-                case Send(to):
-                    if self.links.tell(to, self._letter(action)):
+                case Send(address):
+                    if self.links.send(address, self._encode(action)):
                         logs.counters["members_messages_out"] += 1
                     else:
                         logs.counters["members_messages_unsent"] += 1
-                case Noted(what, name, why):
-                    self._noted(what, name, why)
+                case LogEvent(event, name, reason):
+                    self._log(event, name, reason)
         if self.version != self.membership.version:
             self.version = self.membership.version
-            self._guarded(self.changed)
+            self._call_guarded(self.changed)
 
-    def _letter(self, send: Send) -> bytes:
-        return wire.notifications(wire.WORD, wire.encode(send.message), self.links.badge)
+    def _encode(self, send: Send) -> bytes:
+        return wire.encode_notifications(wire.CHANNEL, wire.encode(send.message), self.links.credentials)
 
-    def _noted(self, what: str, name: str, why: str) -> None:
-        logs.counters["members_" + what] += 1
-        if what in TOLD:
-            logs.log_event(TOLD[what], f"member_{what}", name=name, reason=why)
-        elif what in BY_PEERS:
-            logs.log_peer_fault(f"member_{what}", name=name, reason=why)
+    def _log(self, event: str, name: str, reason: str) -> None:
+        logs.counters["members_" + event] += 1
+        if event in LOGGED_EVENTS:
+            logs.log_event(LOGGED_EVENTS[event], f"member_{event}", name=name, reason=reason)
+        elif event in PEER_FAULT_EVENTS:
+            logs.log_peer_fault(f"member_{event}", name=name, reason=reason)
 
-    # What is heard.
+    # Received messages.
 
-    def _take(self, whole: wire.Whole) -> None:
-        """Of a link in; `InvalidFrameError` closes it."""
+    def _receive_message(self, complete: wire.CompleteMessage) -> None:
+        """Handle a message of an inbound link; an `InvalidFrameError` closes the link."""
         logs.counters["members_messages_in"] += 1
-        if whole.word != wire.WORD:
-            return self._word(whole)
-        message = wire.decode(whole.body)
+        if complete.channel != wire.CHANNEL:
+            return self._receive_on_channel(complete)
+        message = wire.decode(complete.body)
         if message is None:
             logs.counters["members_later_kind"] += 1
             return
-        said = message.me.snapshot
-        if (said.name, said.address) != (whole.name, whole.address):
-            raise msgpack_rpc.InvalidFrameError("a message whose sender is not the one that it tells of")
-        self.membership.heard(clock(), whole.address, message)
-        self._stir()
-
-    def _refused(self, address: str) -> None:
-        """Of a link out: nobody listens there."""
-        self.membership.refused(clock(), address)
-        self._stir()
-
-    def _word(self, whole: wire.Whole) -> None:
-        known = self.membership.known.get(whole.name)
-        take = self.ears.get(whole.word)
-        if known is None or known.stand not in HERE or known.figures.address != whole.address:
+        snapshot = message.sender.snapshot
+        if (snapshot.name, snapshot.address) != (complete.name, complete.address):
+            raise msgpack_rpc.InvalidFrameError("sender in the message differs from the sender in its head")
+        self.membership.receive(clock(), complete.address, message)
+        self._wake()
+
+    def _connect_refused(self, address: str) -> None:
+        """Note that a connect was refused, so nobody listens at the address."""
+        self.membership.connect_refused(clock(), address)
+        self._wake()
+
+    def _receive_on_channel(self, complete: wire.CompleteMessage) -> None:
+        known = self.membership.known.get(complete.name)
+        receiver = self.receivers.get(complete.channel)
+        if known is None or known.status not in PRESENT_STATUSES or known.figures.address != complete.address:
             logs.counters["members_from_nobody"] += 1
-        elif take is None:
+        elif receiver is None:
             logs.counters["members_unknown_word"] += 1
-        elif len(whole.body) > wire.BODY_MOST:
-            raise msgpack_rpc.InvalidFrameError("a word that is too long")
+        elif len(complete.body) > wire.MAX_BODY_BYTES:
+            raise msgpack_rpc.InvalidFrameError(f"message on a channel exceeds {wire.MAX_BODY_BYTES} bytes")
         else:
-            self._guarded(take, whole.name, whole.body)
+            self._call_guarded(receiver, complete.name, complete.body)
 
-    def _guarded(self, what: Callable[..., None], *given: Any) -> None:
-        """An error of another subsystem ends neither a link nor the membership."""
+    def _call_guarded(self, callback: Callable[..., None], *arguments: Any) -> None:
+        """Call another subsystem; its errors are logged and do not end the link or the membership."""
         try:
-            what(*given)
+            callback(*arguments)
         except Exception as error:
             logs.counters["members_word_error"] += 1
             logs.log_event(logging.ERROR, "member_message_failed", error)
--- a/thymeyoke/membership/transport.py
+++ b/thymeyoke/membership/transport.py
@@ -1,8 +1,9 @@
-"""The sockets of a member: links out, which only write, and links in, which only read.
+"""The sockets of a member: outbound links, which only write, and inbound links, which only read.
 
-One bounded actor a peer. Out: opened when there is something to say, kept while used, the least used closed
-for a new one; a letter that does not fit closes its link. In: bounded in number, octets a span, octets not
-yet whole, and time to finish what was begun; whoever says what cannot be is closed. Everything is counted.
+Each link is one bounded actor. An outbound link is opened for the first message, kept while it is used, and
+closed if it is the least used one when the limit is reached, or if its outbox overflows. Inbound links are
+limited in number, byte rate, buffered bytes, and time to complete a message; an invalid frame closes the
+link. All of this is counted.
 """
 
 from __future__ import annotations
@@ -22,159 +23,173 @@
 from thymeyoke.runtime.clock import clock
 from thymeyoke.runtime.mailbox import take_all
 
-MAILBOX = 64  # letters to a peer that are not yet written
-CONNECT, STALL = 1.0, 2.0  # periods that a connect, and a write, may take
-AGAIN = 0.5  # periods after a failed connect in which there is no other
-IDLE = 60.0  # periods without a word, and a link out is closed; twice that, and a link in is
-HALF_SAID = 3.0  # periods in which what was begun goes on, and in which the first word comes
-FLOOD, FLOOD_SPAN = 1 << 21, 8.0  # octets that a peer may say at once, and periods until it may again
-FAREWELL = 0.1  # seconds that last words may take
-ACCEPT_PAUSE = 0.05  # seconds from an accept that failed to the next
-NO_LISTENER = (errno.EBADF, errno.EINVAL, errno.ENOTSOCK)  # of accept: there is none any more
+MAX_UNSENT_MESSAGES = 64  # in the outbox of one link
+CONNECT_TIMEOUT_PERIODS, WRITE_TIMEOUT_PERIODS = 1.0, 2.0
+RECONNECT_BACKOFF_PERIODS = 0.5  # after a failed connect
+IDLE_TIMEOUT_PERIODS = 60.0  # of outbound links; twice as long for inbound ones
+INCOMPLETE_TIMEOUT_PERIODS = 3.0  # for the first message, and for the rest of an incomplete one
+MAX_BURST_BYTES, BURST_REFILL_PERIODS = 1 << 21, 8.0  # that a peer may send at once; time until it may again
+FAREWELL_TIMEOUT_SECONDS = 0.1
+ACCEPT_BACKOFF_SECONDS = 0.05  # after a failed accept
+LISTENER_CLOSED_ERRNOS = (errno.EBADF, errno.EINVAL, errno.ENOTSOCK)  # of accept on a closed listener
 USER_TIMEOUT = getattr(socket, "TCP_USER_TIMEOUT", 18)
-LOST = (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError, OSError)
+CONNECTION_LOST_ERRORS = (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError, OSError)
 
 
-class Bounds(NamedTuple):
-    """How many links a process may hold."""
+class LinkLimits(NamedTuple):
+    """Maximum numbers of links of a process."""
 
-    out: int
-    into: int
+    outbound: int
+    inbound: int
 
 
-# An app server spares its descriptors for its callers; a node speaks with all other nodes, and all ask it.
-NODE, SERVER = Bounds(1024, 1280), Bounds(16, 32)
+# An app server saves descriptors for its clients; a node is linked with all other nodes and many members.
+NODE_LINKS, SERVER_LINKS = LinkLimits(1024, 1280), LinkLimits(16, 32)
 
 
-def parts(address: str) -> tuple[str, int]:
+def split_address(address: str) -> tuple[str, int]:
+    """Split IP:PORT; an IPv6 address loses its brackets."""
     host, _, port = address.rpartition(":")
     return host.strip("[]"), int(port)
 
 
 async def connect(address: str, period: float) -> SocketStream:
-    host, port = parts(address)
+    """Connect to a member; `period`: protocol period in seconds."""
+    host, port = split_address(address)
     stream = await anyio.connect_tcp(host, port)
     raw = stream.extra(SocketAttribute.raw_socket)
     with suppress(OSError):
-        # What the other machine does not take must not wait for TCP's own long patience: after a cut the
-        # first words would come minutes late.
-        raw.setsockopt(socket.IPPROTO_TCP, USER_TIMEOUT, max(100, int(1000 * STALL * period)))
+        # Without this, data that the peer does not acknowledge waits for TCP's retransmission backoff, and
+        # the first messages after a partition would arrive minutes late.
+        raw.setsockopt(socket.IPPROTO_TCP, USER_TIMEOUT, max(100, int(1000 * WRITE_TIMEOUT_PERIODS * period)))
     return stream
 
 
-class Link:
-    """To one peer. Letters that it never takes are lost with it."""
+class OutboundLink:
+    """A link to one peer; unsent messages are lost when it closes."""
 
     def __init__(self, address: str, period: float) -> None:
         self.address, self.period = address, period
-        self.outbox, self.unsent = anyio.create_memory_object_stream[tuple[float, bytes]](MAILBOX)
+        self.outbox, self.outbox_reader = anyio.create_memory_object_stream[tuple[float, bytes]](
+            MAX_UNSENT_MESSAGES
+        )
         self.scope = anyio.CancelScope()
-        self.used = clock()
-        self.owed = 0  # letters told and not yet written
-        self.unreached = False
-        self.refused = False  # nobody listens there
+        self.used_at = clock()
+        self.unsent_count = 0  # messages in the outbox or being written
+        self.is_unreachable = False
+        self.is_refused = False  # the connect was refused
 
-    def tell(self, letter: bytes) -> bool:
+    def send(self, message: bytes) -> bool:
+        """Queue a message without waiting; returns False and closes the link if the outbox is full."""
         try:
-            self.outbox.send_nowait((clock(), letter))
+            self.outbox.send_nowait((clock(), message))
         except anyio.WouldBlock:
             logs.counters["members_outbox_full"] += 1
             self.scope.cancel()
             return False
         except (anyio.BrokenResourceError, anyio.ClosedResourceError):
             return False
-        self.owed += 1
-        self.used = clock()
+        self.unsent_count += 1
+        self.used_at = clock()
         return True
 
     async def run(self) -> None:
+        """Connect and write messages until the link is closed."""
         stream = None
         try:
             with self.scope:
-                with anyio.fail_after(CONNECT * self.period):
+                with anyio.fail_after(CONNECT_TIMEOUT_PERIODS * self.period):
                     stream = await connect(self.address, self.period)
                 async with anyio.create_task_group() as tasks:
                     tasks.start_soon(self._watch, stream)
                     await self._write(stream)
                     tasks.cancel_scope.cancel()
         except (OSError, TimeoutError) as error:
-            self.unreached = True
-            # anyio wraps it; a connect that takes too long, or finds no way, proves nothing.
-            self.refused = isinstance(error.__cause__, ConnectionRefusedError)
+            self.is_unreachable = True
+            # anyio wraps the error. A timeout or an unreachable host does not prove that nobody listens.
+            self.is_refused = isinstance(error.__cause__, ConnectionRefusedError)
             logs.counters["members_unreached"] += 1
         except Exception as error:
             logs.counters["members_error"] += 1
             logs.log_event(logging.ERROR, "member_link_failed", error, peer=self.address)
         finally:
-            lost = self.owed
+            lost = self.unsent_count
             self.outbox.close()
-            self.unsent.close()
+            self.outbox_reader.close()
             logs.counters["members_letters_lost"] += lost
             if stream is not None:
                 await anyio.aclose_forcefully(stream)
 
     async def _write(self, stream: SocketStream) -> None:
-        with suppress(TimeoutError, *LOST):
-            async for first in self.unsent:
-                batch = [first, *take_all(self.unsent)]
-                # What waited while this process stood still would pass for news.
-                late = clock() - (CONNECT + STALL) * self.period
-                if letters := [letter for at, letter in batch if at >= late]:
-                    with anyio.fail_after(STALL * self.period):
-                        await stream.send(b"".join(letters))
-                self.owed -= len(batch)
-                logs.counters["members_letters_lost"] += len(batch) - len(letters)
+        with suppress(TimeoutError, *CONNECTION_LOST_ERRORS):
+            async for first in self.outbox_reader:
+                batch = [first, *take_all(self.outbox_reader)]
+                # Messages that waited while this process stalled are outdated.
+                oldest = clock() - (CONNECT_TIMEOUT_PERIODS + WRITE_TIMEOUT_PERIODS) * self.period
+                if messages := [message for at, message in batch if at >= oldest]:
+                    with anyio.fail_after(WRITE_TIMEOUT_PERIODS * self.period):
+                        await stream.send(b"".join(messages))
+                self.unsent_count -= len(batch)
+                logs.counters["members_letters_lost"] += len(batch) - len(messages)
 
     async def _watch(self, stream: SocketStream) -> None:
-        """The other side says nothing on it: whatever comes, it is over."""
-        with suppress(*LOST):
+        """Close the link when the peer closes it or sends anything, which it must not."""
+        with suppress(*CONNECTION_LOST_ERRORS):
             await stream.receive(1)
             logs.counters["members_unasked"] += 1
         self.scope.cancel()
 
 
-class Flood:
-    """Octets that a peer may say: so many at once, refilled over a span."""
+class ByteRateLimiter:
+    """Limits the bytes received from a peer: a burst that refills over `span` seconds."""
 
     def __init__(self, now: float, span: float) -> None:
-        self.left, self.rate, self.at = float(FLOOD), FLOOD / span, now
+        self.available, self.rate, self.updated_at = float(MAX_BURST_BYTES), MAX_BURST_BYTES / span, now
 
-    def take(self, now: float, many: int) -> bool:
-        self.left = min(FLOOD, self.left + max(0.0, now - self.at) * self.rate) - many
-        self.at = now
-        return self.left >= 0
+    def consume(self, now: float, count: int) -> bool:
+        """Account for received bytes; returns False if they exceed the limit."""
+        self.available = (
+            min(MAX_BURST_BYTES, self.available + max(0.0, now - self.updated_at) * self.rate) - count
+        )
+        self.updated_at = now
+        return self.available >= 0
 
 
-class Heard:
-    """One link in."""
+class InboundLink:
+    """A link from another member."""
 
-    def __init__(self, stream: SocketStream, reader: wire.Reader, period: float) -> None:
+    def __init__(self, stream: SocketStream, reader: wire.MessageReader, period: float) -> None:
         self.stream, self.reader = stream, reader
         self.scope = anyio.CancelScope()
-        self.at = self.begun_at = clock()  # when it last said something; since when something is unfinished
-        self.said = self.half_before = False  # something whole; whether the last read ended within something
-        self.flood = Flood(self.at, FLOOD_SPAN * period)
-
-    async def run(self, take: Callable[[wire.Whole], None]) -> None:
+        # Time of the last read, and since when a message is incomplete or the first one missing.
+        self.received_at = self.incomplete_since = clock()
+        # Whether any message is complete, and whether the last read ended within a message.
+        self.has_message = self.was_incomplete = False
+        self.rate_limiter = ByteRateLimiter(self.received_at, BURST_REFILL_PERIODS * period)
+
+    async def run(self, receive: Callable[[wire.CompleteMessage], None]) -> None:
+        """Read messages and pass them to `receive` until the link is closed."""
         try:
             with self.scope:
                 while True:
                     data = await self.stream.receive(msgpack_rpc.READ_BYTES)
-                    self.at = clock()
-                    if not self.flood.take(self.at, len(data)):
-                        raise wire.Foreign("floods", "it says too much")
-                    before, self.begun_at = self.begun_at, self.at
-                    wholes = self.reader.feed(data)
-                    for whole in wholes:
-                        self.said = True
-                        take(whole)
-                    if not wholes and (self.half_before or not self.said):
-                        self.begun_at = before  # octet by octet is no progress
-                    self.half_before = self.reader.is_incomplete()
-        except LOST:
+                    self.received_at = clock()
+                    if not self.rate_limiter.consume(self.received_at, len(data)):
+                        raise wire.ForeignFleetError("floods", "peer exceeds its byte rate limit")
+                    before, self.incomplete_since = self.incomplete_since, self.received_at
+                    complete = self.reader.feed(data)
+                    for message in complete:
+                        self.has_message = True
+                        receive(message)
+                    if not complete and (self.was_incomplete or not self.has_message):
+                        self.incomplete_since = before  # a few bytes at a time do not extend the timeout
+                    self.was_incomplete = self.reader.is_incomplete()
+        except CONNECTION_LOST_ERRORS:
             pass
         except msgpack_rpc.InvalidFrameError as error:
-            logs.counters["members_" + (error.what if isinstance(error, wire.Foreign) else "bad_frame")] += 1
+            logs.counters[
+                "members_" + (error.counter if isinstance(error, wire.ForeignFleetError) else "bad_frame")
+            ] += 1
             logs.log_peer_fault("member_link_closed", reason=str(error))
         except Exception as error:
             logs.counters["members_error"] += 1
@@ -185,124 +200,134 @@
 
 
 class Links:
-    """All links of a process. `out` and `into` are emptied as links end, `refused` as its spans pass."""
+    """All links of a process. Closed links and elapsed retry times are removed."""
 
     def __init__(
-        self, bounds: Bounds, period: float, badge: wire.Badge, take: Callable[[wire.Whole], None],
+        self,
+        limits: LinkLimits,
+        period: float,
+        credentials: wire.Credentials,
+        receive: Callable[[wire.CompleteMessage], None],
         on_refused: Callable[[str], None],
-    ) -> None:  # fmt: skip
-        """`on_refused`: told the address of each connect that was refused."""
-        self.bounds, self.period, self.badge, self.take = bounds, period, badge, take
+    ) -> None:
+        """`on_refused`: called with the address of each refused connect."""
+        self.limits, self.period, self.credentials, self.receive = limits, period, credentials, receive
         self.on_refused = on_refused
-        self.pool = wire.Pool()
-        self.out: dict[str, Link] = {}  # by address
-        self.into: set[Heard] = set()
-        self.refused: dict[str, float] = {}  # by address, until when it is not tried again
+        self.buffer_pool = wire.BufferPool()
+        self.outbound: dict[str, OutboundLink] = {}  # by address
+        self.inbound: set[InboundLink] = set()
+        self.retry_at: dict[str, float] = {}  # by address: earliest time of the next connect after a failure
         self.tasks: TaskGroup | None = None  # while it runs
 
     async def run(self, host: str, port: int) -> None:
-        """Listen, until cancelled; OSError where this machine does not let it."""
-        listener = await anyio.create_tcp_listener(local_host=host, local_port=port, backlog=self.bounds.into)
+        """Listen until cancelled; raises OSError if the address cannot be used."""
+        listener = await anyio.create_tcp_listener(
+            local_host=host, local_port=port, backlog=self.limits.inbound
+        )
         try:
             async with listener, anyio.create_task_group() as self.tasks:
-                self.tasks.start_soon(self._trim)
-                await self._accepting(listener)
+                self.tasks.start_soon(self._close_expired)
+                await self._accept(listener)
         finally:
             self.tasks = None
-            self.out.clear()
-            self.into.clear()
+            self.outbound.clear()
+            self.inbound.clear()
 
-    async def _accepting(self, listener: Listener[SocketStream]) -> None:
-        """Without descriptors nobody new comes in. The links that stand must stay: they say who is there."""
+    async def _accept(self, listener: Listener[SocketStream]) -> None:
+        """Accept links. Errors such as a lack of descriptors are retried; existing links must stay open."""
         while True:
             try:
-                await listener.serve(self._heard, self.tasks)
+                await listener.serve(self._run_inbound, self.tasks)
             except* OSError as errors:
-                if errors.subgroup(lambda error: getattr(error, "errno", None) in NO_LISTENER):
+                if errors.subgroup(lambda error: getattr(error, "errno", None) in LISTENER_CLOSED_ERRNOS):
                     raise
                 logs.counters["members_accept_failed"] += 1
                 logs.log_peer_fault("member_accept_failed", reason=errors.exceptions[0])
-            await anyio.sleep(ACCEPT_PAUSE)
+            await anyio.sleep(ACCEPT_BACKOFF_SECONDS)
 
-    def tell(self, address: str, letter: bytes) -> bool:
-        """Whether it is on its way; never waits."""
+    def send(self, address: str, message: bytes) -> bool:
+        """Queue a message to an address without waiting; returns whether it was queued."""
         now = clock()
-        if self.tasks is None or now < self.refused.get(address, 0.0):
+        if self.tasks is None or now < self.retry_at.get(address, 0.0):
             return False
-        link = self.out.get(address)
+        link = self.outbound.get(address)
         if link is None or link.scope.cancel_called:
-            if len(self.out) >= self.bounds.out:
-                self._least_used()
-            link = self.out[address] = Link(address, self.period)
-            self.tasks.start_soon(self._keep, link)
-        return link.tell(letter)
-
-    def _least_used(self) -> None:
-        least = min(self.out.values(), key=lambda link: (link.owed > 0, link.used))
+            if len(self.outbound) >= self.limits.outbound:
+                self._close_least_used()
+            link = self.outbound[address] = OutboundLink(address, self.period)
+            self.tasks.start_soon(self._run_outbound, link)
+        return link.send(message)
+
+    def _close_least_used(self) -> None:
+        least = min(self.outbound.values(), key=lambda link: (link.unsent_count > 0, link.used_at))
         logs.counters["members_links_full"] += 1
-        del self.out[least.address]
+        del self.outbound[least.address]
         least.scope.cancel()
 
-    async def _keep(self, link: Link) -> None:
+    async def _run_outbound(self, link: OutboundLink) -> None:
         try:
             await link.run()
         finally:
-            if link.unreached and len(self.refused) < 2 * self.bounds.out:
-                self.refused[link.address] = clock() + AGAIN * self.period
-            if self.out.get(link.address) is link:
-                del self.out[link.address]
-            if link.refused:
+            if link.is_unreachable and len(self.retry_at) < 2 * self.limits.outbound:
+                self.retry_at[link.address] = clock() + RECONNECT_BACKOFF_PERIODS * self.period
+            if self.outbound.get(link.address) is link:
+                del self.outbound[link.address]
+            if link.is_refused:
                 self.on_refused(link.address)
 
-    async def _heard(self, stream: SocketStream) -> None:
-        if len(self.into) >= self.bounds.into and not self._make_room():
+    async def _run_inbound(self, stream: SocketStream) -> None:
+        if len(self.inbound) >= self.limits.inbound and not self._close_idle_inbound():
             logs.counters["members_too_many"] += 1
             return await anyio.aclose_forcefully(stream)
-        one = Heard(stream, wire.Reader(self.badge, self.pool), self.period)
-        self.into.add(one)
+        link = InboundLink(stream, wire.MessageReader(self.credentials, self.buffer_pool), self.period)
+        self.inbound.add(link)
         try:
-            await one.run(self.take)
+            await link.run(self.receive)
         finally:
-            self.into.discard(one)
+            self.inbound.discard(link)
 
-    def _make_room(self) -> bool:
-        """Who has said nothing whole goes first, then who has been quiet for longest, at least a period."""
-        quiet = min(self.into, key=lambda one: (one.said, one.at))
-        if quiet.said and clock() < quiet.at + self.period:
+    def _close_idle_inbound(self) -> bool:
+        """Close one inbound link: one without a complete message, or else one idle for at least a period."""
+        idle = min(self.inbound, key=lambda link: (link.has_message, link.received_at))
+        if idle.has_message and clock() < idle.received_at + self.period:
             return False
         logs.counters["members_links_full"] += 1
-        self.into.discard(quiet)
-        quiet.scope.cancel()
+        self.inbound.discard(idle)
+        idle.scope.cancel()
         return True
 
-    async def _trim(self) -> None:
+    async def _close_expired(self) -> None:
         while True:
             await anyio.sleep(self.period)
             now = clock()
-            self.refused = {at: until for at, until in self.refused.items() if now < until}
-            for link in list(self.out.values()):
-                if now > link.used + IDLE * self.period and not link.owed:
+            self.retry_at = {at: until for at, until in self.retry_at.items() if now < until}
+            for link in list(self.outbound.values()):
+                if now > link.used_at + IDLE_TIMEOUT_PERIODS * self.period and not link.unsent_count:
                     link.scope.cancel()
-            for one in list(self.into):
-                begun = one.reader.is_incomplete() or not one.said
-                since, span = (one.begun_at, HALF_SAID) if begun else (one.at, 2 * IDLE)
-                if now > since + span * self.period:
-                    logs.counters["members_half_said" if begun else "members_silent"] += 1
-                    one.scope.cancel()
-
-
-async def last_words(letters: list[tuple[str, bytes]], period: float) -> None:
-    """On connections of their own, all at once, in a short moment: those that were open may be cancelled."""
-
-    async def say(address: str, letter: bytes) -> None:
-        with suppress(*LOST):
+            for inbound in list(self.inbound):
+                is_pending = inbound.reader.is_incomplete() or not inbound.has_message
+                since, timeout = (
+                    (inbound.incomplete_since, INCOMPLETE_TIMEOUT_PERIODS)
+                    if is_pending
+                    else (inbound.received_at, 2 * IDLE_TIMEOUT_PERIODS)
+                )
+                if now > since + timeout * self.period:
+                    logs.counters["members_half_said" if is_pending else "members_silent"] += 1
+                    inbound.scope.cancel()
+
+
+async def send_farewells(messages: list[tuple[str, bytes]], period: float) -> None:
+    """Send messages on separate connections, concurrently, within a short time, as links may be cancelled."""
+
+    async def send(address: str, message: bytes) -> None:
+        with suppress(*CONNECTION_LOST_ERRORS):
             stream = await connect(address, period)
             try:
-                await stream.send(letter)
+                await stream.send(message)
             finally:
                 await stream.aclose()
 
-    with anyio.move_on_after(FAREWELL, shield=True):
+    with anyio.move_on_after(FAREWELL_TIMEOUT_SECONDS, shield=True):
         async with anyio.create_task_group() as tasks:
-            for address, letter in letters:
-                tasks.start_soon(say, address, letter)
+            for address, message in messages:
+                tasks.start_soon(send, address, message)
--- a/thymeyoke/migration/controller.py
+++ b/thymeyoke/migration/controller.py
@@ -252,9 +252,9 @@
                 data = member.snapshot.parts.get("moves", b"")
                 part = self._read(member.name, data)
                 parts[member.name] = (data, part)
-                if part is not None and member.there:
+                if part is not None and member.is_present:
                     self.said[member.name] = Said(member, part)
-                if member.there or member.name in before:
+                if member.is_present or member.name in before:
                     self.met[member.name] = before.get(member.name, now)
                 if _remains(member):
                     is_new = now < self.met[member.name] + news  # figures come first, what it holds later
@@ -438,7 +438,7 @@
         tenant, target = ask.tenant, self._member(ask.target)
         if not self.terms.moves or tenant not in self.places:
             return Event.OFF, "the operators' file says so"
-        if target is None or not target.there or target.snapshot.state != members.State.SERVING:
+        if target is None or not target.is_present or target.snapshot.state != members.State.SERVING:
             return Event.GONE, f"{ask.target} is gone"
         if target.snapshot.incarnation != record.target_life:
             return Event.GONE, f"{ask.target} started anew"
@@ -787,7 +787,7 @@
         mine, by = self.loads.node(self.me), CAUSE * (self.terms.uneven - 1) * self.loads.mean.mid
         for tenant, bar in list(self.bars.items()):
             theirs, there = self.loads.node(bar.other), self._member(bar.other)
-            another = there is not None and there.there and there.snapshot.incarnation != bar.life
+            another = there is not None and there.is_present and there.snapshot.incarnation != bar.life
             if now >= bar.since + quorum.DAY or (another and now >= bar.since + self.terms.rest):
                 del self.bars[tenant]
             elif mine is None or theirs is None or now < bar.since + self.terms.rest:
@@ -888,7 +888,7 @@
 
 def _remains(member: Member) -> bool:
     """Not where it leaves: its addresses are withdrawn then, and it says what it holds until its farewell."""
-    return member.there and member.snapshot.state != members.State.LEAVING
+    return member.is_present and member.snapshot.state != members.State.LEAVING
 
 
 def _figure(load: Range) -> str:
--- a/thymeyoke/migration/quorum.py
+++ b/thymeyoke/migration/quorum.py
@@ -83,7 +83,7 @@
                     self.left.setdefault(member.name, now)
                 continue
             self.left.pop(member.name, None)
-            if member.there:
+            if member.is_present:
                 self.there[member.name] = now
             else:
                 self.there.setdefault(member.name, now)
@@ -199,7 +199,7 @@
         return None
     life = member.snapshot.incarnation
     if life != one.incarnation:  # views never go back to an older life; what the new one holds may come later
-        return None if said is None and member.there else True
+        return None if said is None and member.is_present else True
     if member.snapshot.state == State.GONE:
         return True
     if said is None or said.lists(one.ask.number):
@@ -231,7 +231,7 @@
     if any(one.same(me, vote.incarnation, vote.number) for one in own):
         votes.append(me)
     for name, one in said.items():
-        if name != me and one.member.there and vote in one.part.votes:
+        if name != me and one.member.is_present and vote in one.part.votes:
             votes.append(name)
             most = max(most, one.part.known)
     return Consent(tuple(sorted(votes)), majority(most), target in votes)
