--- a/thymeyoke/migration/wire.py
+++ b/thymeyoke/migration/wire.py
@@ -14,7 +14,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from thymeyoke.membership.view import NAME_MOST
+from thymeyoke.membership.view import MAX_NAME_LENGTH
 
 VERSION = 1
 PART_MOST = 2048  # bytes
@@ -24,7 +24,7 @@
 PAIR = 4  # bytes of a barred pair
 DROPPED = 8  # asks that were given up, the last ones
 
-Name = Annotated[str, Meta(max_length=NAME_MOST)]
+Name = Annotated[str, Meta(max_length=MAX_NAME_LENGTH)]
 Number = Annotated[int, Meta(ge=0, lt=1 << 53)]
 Seconds = Annotated[float, Meta(ge=0, le=86400 * 4)]
 
--- a/thymeyoke/proxy/client_session.py
+++ b/thymeyoke/proxy/client_session.py
@@ -20,8 +20,8 @@
 from random import Random
 from typing import NamedTuple
 
-from thymeyoke.affinity.clients import customer
-from thymeyoke.affinity.controller import JOIN, Seat, Seats, Why
+from thymeyoke.affinity.clients import client_key
+from thymeyoke.affinity.controller import JOIN_TIMEOUT_MARGINS, AffinityTable, Assignment, AssignmentReason
 from thymeyoke.proxy import relay, session_state
 from thymeyoke.proxy.connection_admission import QUEUE_TIMEOUT_SECONDS, ConnectionTable, WaitingConnection
 from thymeyoke.proxy.listener import Service
@@ -31,7 +31,10 @@
 from thymeyoke.runtime import logs
 from thymeyoke.runtime.clock import clock
 
-FOR_ALL = (Why.JOINING, Why.NOBODY)  # why a guest waits for its seat, and so does everybody behind it
+FOR_ALL = (
+    AssignmentReason.JOINING,
+    AssignmentReason.NO_SERVER,
+)  # why a guest waits for its seat, and so does everybody behind it
 RESET = select.POLLERR | select.POLLHUP
 OURS = (
     errno.EMFILE,
@@ -84,7 +87,7 @@
     the moment before callbacks of the loop tell seats anything; they may run before the node's own turn."""
 
     def __init__(
-        self, most: int, seats: Seats, rng: Random, loop: asyncio.AbstractEventLoop,
+        self, most: int, seats: AffinityTable, rng: Random, loop: asyncio.AbstractEventLoop,
         poke: Callable[[], None], awake: Callable[[float], None],
     ) -> None:  # fmt: skip
         self.seats, self.loop, self.poke, self.awake = seats, loop, poke, awake
@@ -102,7 +105,7 @@
         self.news = False  # seats may say something else now
         self.touched = False  # seats were told something since they were last settled
         self.patience = max(
-            QUEUE_TIMEOUT_SECONDS, JOIN * seats.margin
+            QUEUE_TIMEOUT_SECONDS, JOIN_TIMEOUT_MARGINS * seats.margin
         )  # seconds that one who was let in waits for its seat
         self.does: dict[Do, Callable[[float, Guest], None]] = {
             Do.ASK_PLACE: self._ask_place, Do.ASK_SEAT: self._ask_seat, Do.ASK_CONNECT: self._ask_connect,
@@ -228,31 +231,35 @@
         self.poke()
 
     def _ask_seat(self, now: float, guest: Guest) -> None:
-        guest.who = customer(guest.service.told.tenant, guest.source)
+        guest.who = client_key(guest.service.told.tenant, guest.source)
         look = select.poll()
         look.register(guest.sock, 0)
         if any(what & RESET for _, what in look.poll(0)):  # meanwhile: no connect for nobody
             return self._move(now, guest, Event.LEFT)
-        self._seat(now, guest, self.seats.seat(now, guest.who))
+        self._seat(now, guest, self.seats.assign(now, guest.who))
 
     def _ask_next(self, now: float, guest: Guest) -> None:
         self.awake(now)
-        self._seat(now, guest, self.seats.failed(now, guest.who, guest.server))
+        self._seat(now, guest, self.seats.connect_failed(now, guest.who, guest.server))
 
     def _touch(self) -> None:
         if not self.touched:
             self.touched = True
             self.poke()
 
-    def _seat(self, now: float, guest: Guest, seat: Seat) -> None:
+    def _seat(self, now: float, guest: Guest, seat: Assignment) -> None:
         self.touched = True
         logs.log_event(
-            logging.DEBUG, "session_assigned", customer=guest.who, server=seat.server, reason=seat.why.value
+            logging.DEBUG,
+            "session_assigned",
+            customer=guest.who,
+            server=seat.server,
+            reason=seat.reason.value,
         )
         if seat.server:  # one that has gone since fails like one that is not reached: the next place is asked
             guest.server = seat.server
             self._move(now, guest, Event.SEATED)
-        elif seat.wait > 0 and seat.why in FOR_ALL:
+        elif seat.wait > 0 and seat.reason in FOR_ALL:
             self.queue.append(guest)
             self.queue_at = min(self.queue_at, now + seat.wait)
         elif seat.wait > 0:
@@ -269,7 +276,7 @@
     def _pass(self, now: float, guest: Guest) -> None:
         assert guest.way is not None
         self.awake(now)
-        self.seats.opened(now, guest.who, guest.server)
+        self.seats.connection_opened(now, guest.who, guest.server)
         self._touch()
         logs.counters["node_opened"] += 1
         self.rates.opened(guest.service.told.tenant)
@@ -282,7 +289,7 @@
             self.table.release(guest.service.number)
 
     def _leave_seat(self, now: float, guest: Guest) -> None:
-        self.seats.closed(now, guest.who, guest.server)
+        self.seats.connection_closed(now, guest.who, guest.server)
         self._touch()
 
     def _close(self, now: float, guest: Guest) -> None:
@@ -354,7 +361,7 @@
         self._alone(now, guest, self._seat_again)
 
     def _seat_again(self, now: float, guest: Guest) -> None:
-        self._seat(now, guest, self.seats.seat(now, guest.who))
+        self._seat(now, guest, self.seats.assign(now, guest.who))
 
     def _alone(self, now: float, guest: Guest, do: Callable[[float, Guest], None]) -> None:
         """An error with this one does not end the turn of all others."""
--- a/thymeyoke/proxy/configuration.py
+++ b/thymeyoke/proxy/configuration.py
@@ -7,10 +7,12 @@
 from msgspec import Meta, Struct
 
 from thymeyoke.configuration.service_config import HOST_PORT_DESCRIPTION, ConfigFile, HostPort
-from thymeyoke.membership.limits import HOLDS_MOST
-from thymeyoke.membership.view import NAME_MOST
+from thymeyoke.membership.limits import MAX_HELD_TENANTS
+from thymeyoke.membership.view import MAX_NAME_LENGTH
 
-Name = Annotated[str, Meta(min_length=1, max_length=NAME_MOST, description=f"1 to {NAME_MOST} characters")]
+Name = Annotated[
+    str, Meta(min_length=1, max_length=MAX_NAME_LENGTH, description=f"1 to {MAX_NAME_LENGTH} characters")
+]
 
 
 class Service(Struct, frozen=True):
@@ -53,9 +55,9 @@
         kind, _, tenant = section.removeprefix("node.").partition(" ")
         if kind != "service" or not tenant:
             raise file.error(section, None, "no such section; give [node.service TENANT]")
-        if len(tenant) > NAME_MOST:
+        if len(tenant) > MAX_NAME_LENGTH:
             raise file.error(
-                section, None, f"names a tenant of over {NAME_MOST} characters; give a shorter name"
+                section, None, f"names a tenant of over {MAX_NAME_LENGTH} characters; give a shorter name"
             )
         if not tenant.isprintable():
             raise file.error(
@@ -66,9 +68,11 @@
     # What follows, and a tenant's name, is what others ask of a snapshot: one that fails is dropped whole.
     if not made.name.isprintable():
         raise file.error("node", "name", f"{made.name!r} can't be printed; leave such characters out")
-    if (many := sum(not one.standby for one in services)) > HOLDS_MOST:
+    if (many := sum(not one.standby for one in services)) > MAX_HELD_TENANTS:
         raise file.error(
-            "node", None, f"holds {many} tenants; give at most {HOLDS_MOST} services without standby = true"
+            "node",
+            None,
+            f"holds {many} tenants; give at most {MAX_HELD_TENANTS} services without standby = true",
         )
     if "members" not in file.sections:
         raise file.error("node", None, "needs to know who is there; add a section [members]")
--- a/thymeyoke/proxy/load.py
+++ b/thymeyoke/proxy/load.py
@@ -7,7 +7,7 @@
 from math import exp
 from typing import NamedTuple
 
-from thymeyoke.membership.load_sketch import largest
+from thymeyoke.membership.load_sketch import largest_loads
 from thymeyoke.membership.view import Load
 
 SPAN = 10.0  # seconds over which connections opened a second are averaged
@@ -43,5 +43,5 @@
             self.new.clear()
         self.rates = {tenant: rate for tenant, rate in self.rates.items() if rate >= FADED or tenant in held}
         names = held.keys() | self.rates.keys()
-        loads, rest = largest((name, held.get(name, 0), self.rates.get(name, 0.0)) for name in names)
+        loads, rest = largest_loads((name, held.get(name, 0), self.rates.get(name, 0.0)) for name in names)
         return Figures(sum(held.values()), sum(self.rates.values()), loads, rest)
--- a/thymeyoke/proxy/migration_adapter.py
+++ b/thymeyoke/proxy/migration_adapter.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Iterable
 from typing import TYPE_CHECKING, Any
 
-from thymeyoke.membership.limits import HOLDS_MOST
+from thymeyoke.membership.limits import MAX_HELD_TENANTS
 from thymeyoke.membership.view import View
 from thymeyoke.proxy.configuration import Service
 
@@ -25,7 +25,7 @@
         self.rising: set[str] = set()  # brought by a move, and not yet announced in full
         self.mover: Mover | None = None
         self.own: tuple[str, ...] = ()
-        self.told: frozenset[str] = frozenset()  # by the last snapshot, HOLDS_MOST of them
+        self.told: frozenset[str] = frozenset()  # by the last snapshot, MAX_HELD_TENANTS of them
         self.untold: frozenset[str] = frozenset()  # held besides
         self.at = now  # when to settle though nothing was seen
         self.seen = False
@@ -52,12 +52,13 @@
 
     def holds(self) -> tuple[str, ...]:
         """Tenants whose address is this node's own, for its snapshot, which others drop whole where it names
-        over HOLDS_MOST. One that a move brings counts once it is announced in full: its source goes less
-        preferred with that. Past the bound those stay that were told, then those of the file come: a source
+        over MAX_HELD_TENANTS. One that a move brings counts once it is announced in full: its source goes
+        less preferred with that. Past the bound those stay that were told, then those of the file come: a
+        source
         that does not hear of its tenant takes it back."""
         held = frozenset(self.own) if self.mover is None else self.mover.holds - self.rising
         order = sorted(held, key=lambda one: (one not in self.told, one not in self.own, one))
-        self.told, self.untold = frozenset(order[:HOLDS_MOST]), frozenset(order[HOLDS_MOST:])
+        self.told, self.untold = frozenset(order[:MAX_HELD_TENANTS]), frozenset(order[MAX_HELD_TENANTS:])
         return tuple(sorted(self.told))
 
     @property
@@ -66,7 +67,7 @@
         source asks for room."""
         return (
             self.mover is not None
-            and len(self.mover.holds) >= HOLDS_MOST
+            and len(self.mover.holds) >= MAX_HELD_TENANTS
             and not any(place.on_way for place in self.mover.places.values())
         )
 
--- a/thymeyoke/proxy/process.py
+++ b/thymeyoke/proxy/process.py
@@ -1,7 +1,7 @@
 """One node: its actors, put together and run until it has left.
 
-`Guests` has the customers' connections, `Fleet` the members, `Seats` and `Moving` decide with them. One loop
-looks at all of them and carries out what they say.
+`Guests` has the customers' connections, `MembershipService` the members; `AffinityTable` and `Moving` decide
+with them. One loop looks at all of them and carries out what they say.
 """
 
 from __future__ import annotations
@@ -24,13 +24,13 @@
 from msgspec import structs
 
 from thymeyoke.affinity import wire as words
-from thymeyoke.affinity.controller import Handed, Ready, Seats, Tell
+from thymeyoke.affinity.controller import AffinityTable, HandedOver, Joined, SendMessage
 from thymeyoke.configuration import service_config
 from thymeyoke.configuration.service_config import HostPort, ServiceConfig
 from thymeyoke.configuration.start_file import Address, RequestNames
 from thymeyoke.membership.configuration import Members
 from thymeyoke.membership.service import MembershipService, incarnation
-from thymeyoke.membership.transport import NODE as LINKS
+from thymeyoke.membership.transport import NODE_LINKS
 from thymeyoke.membership.view import Member, Snapshot, State
 from thymeyoke.proxy import relay
 from thymeyoke.proxy.client_session import Guests, Place
@@ -99,7 +99,7 @@
     """How many it may have open at once: two a connection held, one that waits, one that gets the rest of its
     answer, one a listener, the links of members, and some."""
     ends = 3 * told.connections + relay.rests_most(told.connections)
-    return ends + len(told.services) + SPARE_DESCRIPTORS + sum(LINKS)
+    return ends + len(told.services) + SPARE_DESCRIPTORS + sum(NODE_LINKS)
 
 
 def _sides(asked: ServiceConfig) -> ServiceConfig:
@@ -144,9 +144,9 @@
         self.loop = asyncio.get_running_loop()
         now = clock()
         self.poked = anyio.Event()
-        self.seats = Seats(now, told.name, told.linger, EXCEPTIONS * told.connections)
+        self.seats = AffinityTable(now, told.name, told.linger, EXCEPTIONS * told.connections)
         if logs.logger.isEnabledFor(logging.DEBUG):
-            self.seats.notes = []
+            self.seats.log_events = []
         self.guests = Guests(told.connections, self.seats, Random(seed), self.loop, self.poke, self._awake)
         self.moving = Moving(now, told.name)
         self.services: dict[str, Service] = {}  # by tenant
@@ -165,7 +165,7 @@
         )
         self.fleet = MembershipService(members, own, seed)
         self.fleet.changed = self._changed
-        self.fleet.hear("seats", self._heard)
+        self.fleet.add_receiver("seats", self._heard)
         desk, self.desk = anyio.create_memory_object_stream[StatusQuery](DESK)
         self.around = extensions.ExtensionContext(seed, desk, told.name, RequestNames({}, {}), Address("", 0))
         self.sides = extensions.create_extensions(_sides(asked), self.around)
@@ -241,12 +241,12 @@
         """Seats of another node. What can't be read is dropped."""
         try:
             said = words.decode(body)
-        except words.BadWord as error:
+        except words.InvalidMessageError as error:
             logs.counters["node_bad_seats"] += 1
             return logs.log_peer_fault("affinity_message_invalid", member=sender, reason=error)
         now = clock()
         self._awake(now)
-        self.seats.heard(now, sender, said)
+        self.seats.receive(now, sender, said)
         self.seats_at = min(self.seats_at, now + SEATS_SOON)
         self.guests.news = True
 
@@ -297,10 +297,10 @@
 
     def _awake(self, now: float) -> None:
         """Where this process stood still: seats are told before anything is read or seated."""
-        woke_at, span = self.fleet.stood()
+        woke_at, span = self.fleet.last_stall()
         if woke_at > self.woke_at:
             self.woke_at = woke_at
-            self.seats.woke(now, span)
+            self.seats.resumed(now, span)
             self.seats_at = now
 
     def _settle(self, now: float) -> None:
@@ -328,36 +328,36 @@
             members={name: one for name, one in known.items() if one.snapshot.node or name in places}
         )
         logs.gauges["node_servers_nowhere"] = len(known) - len(view.members)
-        self.seats.saw(now, view)
+        self.seats.observe(now, view)
         self.seats_at = min(self.seats_at, now)
         self.moving.saw(now, view)
-        self.guests.saw({name: place for name, place in places.items() if known[name].there})
+        self.guests.saw({name: place for name, place in places.items() if known[name].is_present})
 
     def _share(self, now: float) -> None:
         """What seats want told."""
-        for action in self.seats.settle(now):
+        for action in self.seats.advance(now):
             match action:
-                case Tell(to, body):
+                case SendMessage(to, body):
                     if not self.fleet.send(to, "seats", words.encode(body)):  # it is told again
                         logs.counters["node_seats_unsent"] += 1
-                case Ready(unanswered):
+                case Joined(unanswered):
                     self.ready = True
                     logs.log_event(
                         logging.INFO, "affinity_joined", name=self.told.name, unanswered=unanswered
                     )
                     self._say(now)
-                case Handed(unacked):
+                case HandedOver(unacked):
                     self.handed = True
                     logs.log_event(logging.INFO, "affinity_handed_over", name=self.told.name, unacked=unacked)
         for name, many in self.seats.counts.items():
             logs.counters["seats_" + name] += many
         self.seats.counts.clear()
-        if self.seats.notes:
-            for note in self.seats.notes:
-                logs.log_event(logging.DEBUG, note.what, **note.pairs)
-            self.seats.notes.clear()
+        if self.seats.log_events:
+            for note in self.seats.log_events:
+                logs.log_event(logging.DEBUG, note.event, **note.fields)
+            self.seats.log_events.clear()
         self.guests.touched = False
-        self.seats_at = max(now + SEATS_SOON, self.seats.next(now))
+        self.seats_at = max(now + SEATS_SOON, self.seats.next_advance_at(now))
 
     def _carry(self, now: float) -> None:
         """What moves want announced."""
@@ -370,7 +370,7 @@
 
     def _look(self, now: float) -> None:
         """Now and then: figures out, figures of others in, what stands still ended."""
-        self.look_at = now + min(LOOK, self.fleet.told.period)
+        self.look_at = now + min(LOOK, self.fleet.config.period)
         if self.fleet.conflict:
             self.refused = f"[node] name: {self.fleet.conflict}"
             return
@@ -394,7 +394,7 @@
         if untold and not logs.gauges.get("node_tenants_untold"):
             logs.log_event(logging.WARNING, "tenants_over_limit", told=len(holds), untold=untold)
         logs.gauges["node_tenants_untold"] = untold
-        self.fleet.say(
+        self.fleet.announce(
             state=state, connections=figures.connections, opened=figures.opened, room=room,
             loads=figures.loads, rest=figures.rest, holds=holds, parts=self.moving.parts(now),
         )  # fmt: skip
@@ -404,8 +404,8 @@
         logs.gauges.update(
             node_connections=self.guests.table.held, node_waiting=self.guests.table.waiting,
             node_connects_out=len(self.guests.connects.out), node_octets=self.guests.relays.octets,
-            node_customers=len(self.seats.open), node_exceptions=len(self.seats.kept),
-            node_unshared=self.seats.unshared(), node_rests=len(self.guests.relays.rests),
+            node_customers=len(self.seats.open_connections), node_exceptions=len(self.seats.bindings),
+            node_unshared=self.seats.unreplicated_bindings(), node_rests=len(self.guests.relays.rests),
         )  # fmt: skip
         logs.log_event(logging.INFO, "counters", **dict[str, Any](logs.gauges | logs.counters))
 
@@ -466,7 +466,7 @@
         for side in new if self.leaving else ():
             side.notify(DrainStarted(self.door_at))
         self._announce(clock())
-        if told.linger != self.seats.linger:
+        if told.linger != self.seats.idle_timeout:
             logs.log_event(logging.WARNING, "change_deferred", section="node", option="linger")
         logs.log_event(logging.INFO, "service_config_reloaded", services=len(services))
         self.poke()
@@ -477,7 +477,7 @@
             asked["members"] = old
             logs.log_event(logging.WARNING, "change_deferred", section="members")
         elif old != new:
-            self.fleet.reform(new)
+            self.fleet.reconfigure(new)
 
     # The end.
 
--- a/thymeyoke/runtime/__init__.py
+++ b/thymeyoke/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""What every program of this project stands on: logs, clock, mailboxes, framing, extensions."""
+"""Common infrastructure of all programs: logs, clock, mailboxes, framing, extensions."""
--- a/thymeyoke/runtime/clock.py
+++ b/thymeyoke/runtime/clock.py
@@ -1,4 +1,4 @@
-"""The one clock of a process: Unix seconds that never step back."""
+"""The clock of a process: Unix time in seconds that never decreases."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def clock() -> float:
-    """The present moment; while the system's clock is set back, the latest one that was returned."""
+    """The current time; constant while the system's clock is set back."""
     global _latest
     _latest = max(_latest, time())
     return _latest
--- a/thymeyoke/runtime/early_signals.py
+++ b/thymeyoke/runtime/early_signals.py
@@ -1,8 +1,8 @@
-"""Signals that come before a process can handle them.
+"""Blocks signals while a process cannot handle them.
 
-By itself SIGHUP or SIGTERM ends a process that still imports or reads its files, and one that has ended its
-work would exit with a signal's code. Blocked from the first line on, signals wait until their handlers are
-installed, and for ever once these are gone.
+By default SIGHUP or SIGTERM would kill a process that is still importing or reading its files, and one that
+is about to exit would end with a signal's exit status. Signals are therefore blocked from the first line on
+until their handlers are installed, and again after these are removed.
 """
 
 from __future__ import annotations
@@ -24,20 +24,20 @@
 
 
 def blocked_since() -> float | None:
-    """The moment of the process's first line, in Unix seconds, where signals are blocked."""
+    """Unix time at which signals were first blocked, at the start of the process; None if they were not."""
     return _blocked_since
 
 
 def is_shutdown_pending() -> bool:
-    """Whether a shutdown signal waits."""
+    """Whether a blocked shutdown signal is pending."""
     return bool(SHUTDOWN_SIGNALS & signal.sigpending())
 
 
 def unblock() -> float | None:
-    """Let signals come.
+    """Unblock signals.
 
-    Where a shutdown signal waited, return the earliest moment at which it can have come: when it did is
-    unknown, and a grace counted from now would be too long.
+    If a shutdown signal was pending, return the earliest time at which it may have arrived: a drain grace
+    counted from now would be too long.
     """
     was_pending = is_shutdown_pending()
     signal.pthread_sigmask(signal.SIG_UNBLOCK, SIGNALS)
@@ -45,6 +45,6 @@
 
 
 def reblock() -> None:
-    """Block signals for the rest of a process that blocked them before."""
+    """Block signals for the rest of the process, if they were blocked at its start."""
     if _blocked_since is not None:
         block()
--- a/thymeyoke/runtime/errors.py
+++ b/thymeyoke/runtime/errors.py
@@ -1,7 +1,7 @@
-"""The base of all exceptions that this project raises on purpose."""
+"""Base class of the project's exceptions."""
 
 from __future__ import annotations
 
 
 class ThymeyokeError(Exception):
-    """Something that the caller can act on; the text is for people."""
+    """An error that the caller can handle; its message is meant for people."""
--- a/thymeyoke/runtime/extensions.py
+++ b/thymeyoke/runtime/extensions.py
@@ -1,8 +1,8 @@
-"""Subsystems that a host process (app server or proxy node) loads because the configuration asks for them.
+"""Extensions: optional subsystems of a host process (app server or proxy node), enabled by the configuration.
 
-No subsystem is imported that is not asked for; what is off is an empty tuple at the host. The host notifies
-its extensions of a drain and of a changed configuration; of all else they hear when they ask (`StatusQuery`).
-Those that observe requests get the end of each.
+Only configured subsystems are imported. The host notifies its extensions of a drain and of a changed
+configuration; extensions query everything else (`StatusQuery`). Extensions that observe requests are called
+at the end of each request.
 """
 
 from __future__ import annotations
@@ -22,26 +22,26 @@
 from thymeyoke.runtime.clock import clock
 from thymeyoke.runtime.errors import ThymeyokeError
 
-# By section of the service configuration. Each has `check_host(section)` and `create_extension(section,
-# context)`.
+# Modules by section of the service configuration. Each has the functions `check_host(section)` and
+# `create_extension(section, context)`.
 EXTENSION_MODULES = {
     "announce": "thymeyoke.bgp.advertiser",
     "ledger": "thymeyoke.ledger.usage_recorder",
     "members": "thymeyoke.membership.extension",
 }
-RESTART_BACKOFF_SECONDS = 0.5  # until an extension that failed starts again; doubles
+RESTART_BACKOFF_SECONDS = 0.5  # before a failed extension is restarted; doubles
 RESTART_BACKOFF_MAX_SECONDS = 16.0
-STABLE_SECONDS = 60.0  # without an error: the backoff begins anew
+STABLE_SECONDS = 60.0  # without an error, after which the backoff is reset
 
-ServiceConfig = dict[str, Any]  # by section, the typed value that its package made of it
+ServiceConfig = dict[str, Any]  # typed settings by section
 
 
 class HostConfigurationError(ThymeyokeError):
-    """This machine does not let the process do what the service configuration asks for."""
+    """This machine does not support what the service configuration requires."""
 
 
 class Verdict(Enum):
-    """The kinds of final answers."""
+    """Kinds of final answers."""
 
     SERVED = "served"
     REJECTED = "rejected"
@@ -49,30 +49,30 @@
 
 
 class Answer(NamedTuple):
-    """The one final answer to a request."""
+    """The final answer to a request."""
 
-    number: int  # of the request, on its connection
+    number: int  # of the request on its connection
     verdict: Verdict
     body: bytes = b""
     backpressure: float | None = None
     retry_after: float = 0.0  # seconds; 0 for no advice
-    is_terminal: bool = False  # another server would reject the request as well
+    is_terminal: bool = False  # other servers would reject the request as well
 
 
 class AnswerReceiver(Protocol):
-    """Where an answer goes. It never makes the sender wait."""
+    """The receiver of an answer; it never blocks the sender."""
 
     def send(self, message: Answer) -> None:
-        """Take an answer for the client."""
+        """Queue an answer for the client."""
 
 
 class ServerStatus(NamedTuple):
-    """How the host is doing. Counts run from its start, moments are the clock's."""
+    """Status of the host. Counts are since its start, times are clock times in seconds."""
 
     is_ready: bool
     is_processor_connected: bool
     warm_at: float
-    busy: float | None  # share of the cores; None before the first gauges, or where none tells it
+    busy: float | None  # share of busy cores; None before the first reading or without such a gauge
     requests: int
     rejected: int
     connections: int
@@ -80,43 +80,43 @@
 
 
 class StatusReceiver(Protocol):
-    """Who asked for a status."""
+    """The sender of a status query."""
 
     def notify(self, message: ServerStatus) -> None:
-        """Take the status."""
+        """Receive the status."""
 
 
 class StatusQuery(NamedTuple):
-    """An extension asks the host for its status."""
+    """An extension's query for the host's status."""
 
     receiver: StatusReceiver
 
 
 class DrainStarted(NamedTuple):
-    """The shutdown notice has come; requests are admitted until `listener_closes_at`."""
+    """The shutdown notice was received; requests are admitted until `listener_closes_at`."""
 
     listener_closes_at: float
 
 
 class ConfigurationChanged(NamedTuple):
-    """The service configuration was read again: the extension's section, or None where it is gone."""
+    """The service configuration was read again: the extension's section, or None if it was removed."""
 
     section: Any
 
 
 class RequestCompletion(NamedTuple):
-    """The end of a request: answered and off the cores.
+    """The end of a request: it is answered and not running.
 
-    Where `client` is set, the answer is still to be sent, by `answer_by` at the latest.
+    If `client` is set, the receiver has to send the answer, by `answer_by` at the latest.
     """
 
     at: float
     id: str
     tenant: int
     class_index: int
-    verdict: Verdict | None  # None: its client is gone
+    verdict: Verdict | None  # None: abandoned by its client
     is_repeat: bool  # answered with the result of another request
-    run_time: float  # seconds, as the processor reported them
+    run_time: float  # seconds, as reported by the processor
     calls: int
     priority_weight: float
     size_bytes: int
@@ -129,47 +129,47 @@
 
 
 class ExtensionContext(NamedTuple):
-    """What an extension knows of its host."""
+    """What the host passes to its extensions."""
 
     seed: int
-    dispatcher: MemoryObjectSendStream[Any]  # takes `StatusQuery`
+    dispatcher: MemoryObjectSendStream[Any]  # accepts `StatusQuery`
     name: str
     request_names: RequestNames
-    listen: Address  # where requests come in
+    listen: Address  # address of requests
 
 
 class Extension(Protocol):
-    """A subsystem's actor."""
+    """The actor of a subsystem."""
 
     name: str
-    extends_drain: bool  # a drain lasts until the listener closes, though all is answered
-    observes_requests: bool  # then it is a `RequestObserver` as well
+    extends_drain: bool  # a drain lasts until the listener closes, even if all requests are answered
+    observes_requests: bool  # if True, it is also a `RequestObserver`
 
     def notify(self, message: Notification) -> None:
-        """Take a notification; never waits."""
+        """Receive a notification without waiting."""
 
     def close(self) -> None:
-        """Free what it holds; it does not run any more."""
+        """Release all resources, after `run` has ended."""
 
     async def run(self) -> None:
-        """Run until it is cancelled or its section is gone; may be called again after an error."""
+        """Run until cancelled or until the section is removed; may be called again after an error."""
 
 
 class RequestObserver(Protocol):
     """An extension that observes requests."""
 
     def accepts_requests(self) -> bool:
-        """Whether a request may be admitted."""
+        """Whether requests may be admitted now."""
 
     def has_pending_answers(self) -> bool:
-        """Whether answers are still to be sent: a drain waits for them."""
+        """Whether it still has answers to send; a drain waits for them."""
 
     def request_completed(self, completion: RequestCompletion) -> None:
-        """Take the end of a request, and its answer where it has one."""
+        """Receive the end of a request, and its answer if it has to send it."""
 
 
 def check_host(config: ServiceConfig) -> None:
-    """Raise `HostConfigurationError` where this machine does not allow what a configuration asks for."""
+    """Raise `HostConfigurationError` if this machine does not support what a configuration requires."""
     for name, section in config.items():
         if name not in EXTENSION_MODULES:
             raise HostConfigurationError(
@@ -179,7 +179,7 @@
 
 
 def create_extensions(config: ServiceConfig, context: ExtensionContext) -> tuple[Extension, ...]:
-    """One extension for each section."""
+    """Create one extension for each section."""
     return tuple(
         import_module(EXTENSION_MODULES[name]).create_extension(section, context)
         for name, section in config.items()
@@ -189,9 +189,9 @@
 def reload_extensions(
     present: tuple[Extension, ...], config: ServiceConfig, context: ExtensionContext
 ) -> tuple[tuple[Extension, ...], tuple[Extension, ...]]:
-    """Apply a configuration that was read again: all of it is checked before any of it is carried out.
+    """Apply a changed configuration; all of it is checked before any change is made.
 
-    Returns those that stay or are new, and the new ones, which are still to be started.
+    Returns all extensions from now on, and those of them that are new and have to be started.
     """
     check_host(config)
     by_name = {extension.name: extension for extension in present}
@@ -205,14 +205,14 @@
 
 
 class RestartableActor(Protocol):
-    """What runs until it is cancelled, and again after an error."""
+    """An actor that is restarted after an error."""
 
     @property
     def name(self) -> str:
         """Its name in logs and counters."""
 
     async def run(self) -> None:
-        """Run until it is cancelled or has nothing more to do."""
+        """Run until cancelled or done."""
 
 
 def start_extensions(tasks: TaskGroup, extensions: Sequence[RestartableActor]) -> None:
@@ -222,7 +222,7 @@
 
 
 async def _run_with_restarts(extension: RestartableActor) -> None:
-    """An error ends what an extension does, and it begins anew; the host goes on."""
+    """Run an extension; after an error it is restarted, without effect on the host."""
     backoff, started_at = RESTART_BACKOFF_SECONDS, clock()
     while True:
         try:
--- a/thymeyoke/runtime/invariants.py
+++ b/thymeyoke/runtime/invariants.py
@@ -1,4 +1,4 @@
-"""What must hold: asserted in debug, counted and logged under `python -O`."""
+"""Invariants: asserted in debug mode, counted and logged under `python -O`."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def check_invariant(condition: bool, name: str, **fields: Any) -> bool:
-    """Return the condition, for those who can carry on either way; AssertionError in debug."""
+    """Check an invariant and return the condition; raises AssertionError in debug mode."""
     if not condition:
         logs.counters[f"invariants_violated_{name}"] += 1
         logs.log_event(logging.ERROR, "invariant_violated", invariant=name, **fields)
--- a/thymeyoke/runtime/logs.py
+++ b/thymeyoke/runtime/logs.py
@@ -1,6 +1,6 @@
-"""Log lines on standard error, key=value pairs or JSON, and the counters that are logged now and then.
+"""Log lines on standard error as key=value pairs or JSON, and counters, which are logged periodically.
 
-An event is a stable name in snake_case; its fields are nouns.
+An event has a stable name in snake_case; its fields are nouns.
 """
 
 from __future__ import annotations
@@ -12,11 +12,11 @@
 
 import orjson
 
-PEER_FAULT_LINES = 20  # of faults by peers, in each span of PEER_FAULT_SECONDS; the rest are counted
+PEER_FAULT_LINES = 20  # log lines about faults of peers within PEER_FAULT_SECONDS; others are only counted
 PEER_FAULT_SECONDS = 10.0
 
 logger = logging.getLogger("thymeyoke")
-counters: Counter[str] = Counter()  # of this process; its keys are names of the code, not of the input
+counters: Counter[str] = Counter()  # of this process; bounded, as no key comes from input
 gauges: dict[str, float] = {}  # logged with the counters
 _peer_fault_times: deque[float] = deque(maxlen=PEER_FAULT_LINES)
 
@@ -38,24 +38,24 @@
 
 
 class KeyValueFormatter(logging.Formatter):
-    """One line of key=value pairs a record; texts are quoted where they need be."""
+    """Formats a record as one line of key=value pairs; texts are quoted if necessary."""
 
     def format(self, record: logging.LogRecord) -> str:
-        """The line of a record."""
+        """Format a record."""
         fields = _fields(record) | {"at": f"{record.created:.3f}"}
         return " ".join(f"{key}={_quoted(value)}" for key, value in fields.items())
 
 
 class JsonFormatter(logging.Formatter):
-    """The same fields, one JSON object a line."""
+    """Formats a record as one JSON object."""
 
     def format(self, record: logging.LogRecord) -> str:
-        """The line of a record."""
+        """Format a record."""
         return orjson.dumps(_fields(record), default=str).decode()
 
 
 def describe_error(error: BaseException) -> str:
-    """An exception's type, place and text, on one line; of a group the first error in it."""
+    """Type, location and message of an exception in one line; of a group, its first exception."""
     while isinstance(error, BaseExceptionGroup):
         error = error.exceptions[0]
     trace = error.__traceback__
@@ -74,7 +74,7 @@
 
 
 def log_peer_fault(event: str, **fields: Any) -> None:
-    """Log a fault by a peer, as a warning. A peer that goes on committing them fills no log."""
+    """Log a fault of a peer as a warning; the rate is limited, as a peer could fill the log."""
     now = time.monotonic()
     is_full = len(_peer_fault_times) == PEER_FAULT_LINES
     if is_full and now < _peer_fault_times[0] + PEER_FAULT_SECONDS:
@@ -85,7 +85,7 @@
 
 
 def configure_logging(level: str, log_form: str = "text") -> None:
-    """Log to standard error, from a level on, as `text` (key=value) or `json`."""
+    """Log to standard error from `level` on, in the form `text` (key=value) or `json`."""
     handler = logging.StreamHandler()
     handler.setFormatter(JsonFormatter() if log_form == "json" else KeyValueFormatter())
     logger.addHandler(handler)
--- a/thymeyoke/runtime/mailbox.py
+++ b/thymeyoke/runtime/mailbox.py
@@ -1,4 +1,4 @@
-"""Bounded mailboxes between actors: in-memory streams of anyio."""
+"""Helpers for bounded mailboxes between actors, which are in-memory streams of anyio."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 def take_all(mailbox: MemoryObjectReceiveStream[Item]) -> list[Item]:
-    """Take all items that are in a mailbox now, without waiting."""
+    """Take all items that are currently in a mailbox, without waiting."""
     return [mailbox.receive_nowait() for _ in range(mailbox.statistics().current_buffer_used)]
 
 
 async def post(mailbox: MemoryObjectSendStream[Item], item: Item) -> None:
-    """Put an item into a mailbox, unless its reader has ended; wait only while the mailbox is full.
+    """Put an item into a mailbox, unless its reader has ended; waits only while the mailbox is full.
 
-    The wait is shielded: what a peer has reported counts as read, and nothing would report it again if the
+    The wait is shielded from cancellation: an event that was read from a peer would otherwise be lost if the
     peer's task were cancelled meanwhile.
     """
     with suppress(anyio.BrokenResourceError, anyio.ClosedResourceError):
--- a/thymeyoke/runtime/msgpack_rpc.py
+++ b/thymeyoke/runtime/msgpack_rpc.py
@@ -1,4 +1,4 @@
-"""MessagePack-RPC framing with bounds: bytes of a connection to frames, however they are cut."""
+"""MessagePack-RPC framing with size limits: assembles frames from the bytes of a connection."""
 
 from __future__ import annotations
 
@@ -9,43 +9,44 @@
 from thymeyoke.runtime.errors import ThymeyokeError
 
 MAX_BODY_BYTES = 2048
-MAX_FIELD_BYTES = 512  # of a name or a field
-MAX_FRAME_BYTES = 1 << 14  # of a message that is not yet complete
-MAX_FRAME_PARTS = 4
-MAX_FIELDS = 32
-READ_BYTES = 1 << 14  # the most that is fed at once
-UNPACKER_BUFFER_BYTES = 1 << 11  # of the library, for each connection: it grows where it has to
-REQUEST, REPLY, NOTIFICATION = 0, 1, 2  # kinds of messages
+MAX_FIELD_BYTES = 512  # of a text
+MAX_FRAME_BYTES = 1 << 14  # of an incomplete message
+MAX_FRAME_PARTS = 4  # elements of an array
+MAX_FIELDS = 32  # entries of a map
+READ_BYTES = 1 << 14  # maximum number of bytes fed at once
+UNPACKER_BUFFER_BYTES = 1 << 11  # initial buffer of the library for each connection
+REQUEST, REPLY, NOTIFICATION = 0, 1, 2  # message types
 
 Message = TypeVar("Message")
 
 
 class InvalidFrameError(ThymeyokeError):
-    """What was read is not of the protocol; the connection cannot go on."""
+    """The received bytes violate the protocol; the connection must be closed."""
 
 
 def are_integers(*numbers: Any) -> bool:
-    """Whether these are integers on the wire: to Python `true` is one as well, and 0.0 equals 0."""
+    """Whether all values are integers; unlike in Python's comparisons, `true` and 0.0 are not."""
     return all(type(number) is int for number in numbers)
 
 
 class FrameReader(Generic[Message]):
-    """The messages of one connection. Subclasses make a message of each frame."""
+    """Reads the messages of one connection. Subclasses convert frames to messages."""
 
     def __init__(self) -> None:
-        self.fed_bytes = self.complete_bytes = 0  # in all, and up to the end of the last complete message
-        self.unpacker: msgpack.Unpacker | None = None  # while a message is incomplete: each takes some 50 KB
+        self.fed_bytes = self.complete_bytes = 0  # in total, and up to the end of the last complete message
+        # Kept only while a message is incomplete, as each takes about 50 KB.
+        self.unpacker: msgpack.Unpacker | None = None
 
     def feed(self, data: bytes) -> list[Message]:
-        """The messages that are complete now; `InvalidFrameError` for bytes that are none."""
+        """Add received bytes; returns the messages that they complete. Raises `InvalidFrameError`."""
         try:
             messages = self._unpack(data)
         except InvalidFrameError:
             raise
-        except Exception as error:  # the library raises many kinds, its own and plain ones
-            raise InvalidFrameError(f"not MessagePack: {type(error).__name__} {error}") from None
+        except Exception as error:  # the library raises exceptions of many types
+            raise InvalidFrameError(f"invalid MessagePack: {type(error).__name__} {error}") from None
         if self.fed_bytes - self.complete_bytes > MAX_FRAME_BYTES:
-            raise InvalidFrameError("a message does not end")
+            raise InvalidFrameError(f"incomplete message exceeds {MAX_FRAME_BYTES} bytes")
         return messages
 
     def _unpack(self, data: bytes) -> list[Message]:
@@ -72,9 +73,9 @@
         return messages
 
     def is_incomplete(self) -> bool:
-        """Whether a message has begun and is not yet complete."""
+        """Whether a message has been received in part."""
         return self.fed_bytes > self.complete_bytes
 
     def _message(self, frame: Any) -> Message:
-        """Make a message of a frame, or raise `InvalidFrameError`."""
+        """Convert a frame to a message; raises `InvalidFrameError`."""
         raise NotImplementedError
--- a/thymeyoke/runtime/status_socket.py
+++ b/thymeyoke/runtime/status_socket.py
@@ -1,6 +1,6 @@
-"""A Unix socket that answers each connection with the process's status, one JSON document, and closes it.
+"""A Unix socket that answers each connection with the process's status as one JSON document.
 
-It goes with the process: a status file would tell of a process that is dead.
+Unlike a status file it never shows the status of a process that has ended.
 """
 
 from __future__ import annotations
@@ -21,23 +21,23 @@
 from thymeyoke.runtime import logs
 from thymeyoke.runtime.errors import ThymeyokeError
 
-MAX_QUERIES = 4  # at once; the next ones are closed unanswered
+MAX_QUERIES = 4  # concurrent ones; further connections are closed without an answer
 QUERY_TIMEOUT_SECONDS = 1.0
 READ_BYTES = 1 << 16
 OWNER_ONLY = 0o600
 
 
 class StatusUnavailableError(ThymeyokeError):
-    """No process answers at a status socket."""
+    """No process answers at the status socket."""
 
 
 def socket_path(configured: str | None, name: str) -> Path:
-    """The configured path, else one by its name in the folder for temporary files."""
+    """The configured path, or else one with the process's name in the directory for temporary files."""
     return Path(configured) if configured else Path(tempfile.gettempdir()) / f"thymeyoke-{name}.sock"
 
 
 async def serve_status(path: Path, command: str, status: Callable[[], dict[str, Any]]) -> None:
-    """Answer until cancelled. `command`: the one that asks, in what is logged and counted."""
+    """Answer queries until cancelled; `command`: the command that queries, for logs and counters."""
     try:
         with suppress(FileNotFoundError):
             if path.is_socket() and not is_listening(path):
@@ -71,7 +71,7 @@
 
 
 def is_listening(path: Path) -> bool:
-    """Whether a process may listen there: a killed one leaves its socket's file behind."""
+    """Whether a process may be listening at a path; a killed process leaves its socket file behind."""
     with socket.socket(socket.AF_UNIX) as probe:
         probe.settimeout(QUERY_TIMEOUT_SECONDS)
         try:
@@ -84,7 +84,10 @@
 
 
 def query_status(path: Path, process_kind: str) -> dict[str, Any]:
-    """The running process's status, or `StatusUnavailableError`. `process_kind`: what should listen there."""
+    """Query a running process's status; raises `StatusUnavailableError`.
+
+    `process_kind`: what should be listening, for the error message.
+    """
     answer = b""
     with socket.socket(socket.AF_UNIX) as client:
         client.settimeout(2 * QUERY_TIMEOUT_SECONDS)
--- a/thymeyoke/server/action_executor.py
+++ b/thymeyoke/server/action_executor.py
@@ -31,28 +31,28 @@
 
 
 class ListenerHandle(Protocol):
-    """The listener; it never waits."""
+    """The listener; `notify` does not block."""
 
     def notify(self, message: IdleTimeoutChanged | CloseListener) -> None:
-        """Take a change."""
+        """Apply a change."""
 
 
 class DependencyHandle(Protocol):
-    """The client of the dependency; it never waits."""
+    """The client of the dependency; `send` does not block."""
 
     def send(self, message: StartCall | AbandonCall) -> bool:
-        """Queue a message; False: a call was not made."""
+        """Queue a message; return False if a call will not be made."""
 
 
 class EndpointRegistryHandle(Protocol):
-    """The client of the endpoint registry; it never waits."""
+    """The client of the endpoint registry; `send` does not block."""
 
     def send(self, message: HealthChanged) -> None:
         """Queue a report."""
 
 
 class Peers(NamedTuple):
-    """The actors, besides the processor's, to which actions go."""
+    """The actors that carry out actions, except for the client of the processor."""
 
     listener: ListenerHandle
     dependency: DependencyHandle
@@ -60,22 +60,22 @@
 
 
 class ActionExecutor:
-    """Carries out actions. What they lead to at once is taken with `take_events`."""
+    """Carries out actions; `take_events` returns the events that they cause immediately."""
 
     def __init__(
         self, settings: AdmissionSettings, in_flight: InFlightRequests, retained: IdempotencyCache,
         timers: PolicyTimers, commands: ProcessorCommands, peers: Peers,
         reuse_ended: Callable[[float, str, Outcome], None],
     ) -> None:  # fmt: skip
-        """`reuse_ended` is called for each request that was answered with the result of another one."""
+        """Create an executor; it calls `reuse_ended` for each request answered with another one's result."""
         self.classes, self.result_freshness = settings.request_classes, settings.clients.result_freshness
         self.in_flight, self.retained, self.timers = in_flight, retained, timers
         self.commands, self.peers, self.reuse_ended = commands, peers, reuse_ended
-        self.is_healthy = True  # what health checks are answered
+        self.is_healthy = True  # the answer to health checks
         self.events: list[CallEnded] = []
 
     def take_events(self) -> list[CallEnded]:
-        """What actions led to at once, since the last time."""
+        """Take the events that actions have caused since the last call."""
         events, self.events = self.events, []
         return events
 
@@ -150,13 +150,13 @@
             self.events.append(CallEnded(id, Outcome.UNREACHABLE, b"", 0.0))
 
     def release_key(self, now: float, id: str) -> None:
-        """It never ran: its repeats get nothing from it."""
+        """Release the key of a request that never ran; retries that wait for its result fail."""
         self.answer_repeats(now, id, self.retained.release(id), Result(None, now))
 
     def answer_repeats(self, now: float, original_id: str | None, ids: list[str], result: Result) -> None:
         """Answer requests with the result that they waited for.
 
-        One that ran out of time is gone, and a bad client may have sent another request under its id since.
+        A request may have timed out, and a faulty client may have reused its id for another request.
         """
         for id in ids:
             request = self.in_flight.by_id.get(id)
--- a/thymeyoke/server/client_connection.py
+++ b/thymeyoke/server/client_connection.py
@@ -1,4 +1,4 @@
-"""An actor for each client connection: it reads requests and writes answers."""
+"""The actor of one client connection, which reads requests and writes answers."""
 
 from __future__ import annotations
 
@@ -29,19 +29,19 @@
 )
 from thymeyoke.server.socket_reader import SocketReader
 
-MAX_OPEN_REQUESTS = 32  # of one connection
+MAX_OPEN_REQUESTS = 32  # per connection
 OUTBOX_SIZE = 4 * MAX_OPEN_REQUESTS  # answers that a client may leave unread
-CLOSE_LINGER_SECONDS = 0.05  # what crosses a close comes within this: it is read and dropped
-CLOSE_LINGER_READS = 8  # past them it is a flood, and is reset
-MAX_INVALID_REQUESTS = 4  # of one connection; a router sends none
+CLOSE_LINGER_SECONDS = 0.05  # how long a closing connection reads and discards late data
+CLOSE_LINGER_READS = 8  # after this many reads in a row the connection is reset
+MAX_INVALID_REQUESTS = 4  # per connection; a correct router sends none
 
 
 class ClientConnection:
-    """One client connection. `open_requests` is emptied by answers, cancels and the connection's end.
+    """One client connection; entries of `open_requests` go with the answer, a cancel or the connection.
 
-    It reads and writes its socket itself: bytes are unread in the socket or in the reader, where `is_quiet`
-    sees them, or have become messages that are handled in the same step. In a stream's buffer between the two
-    a request would be invisible, and the connection would look unused.
+    It reads and writes its socket directly instead of through a stream. Data is either in the socket or in
+    the reader, where `is_quiet` finds it, or has been decoded and is handled in the same step. In a stream's
+    buffer a request would be invisible, and the connection would appear unused.
     """
 
     def __init__(
@@ -49,21 +49,21 @@
     ) -> None:
         self.socket, self.dispatcher = accepted, dispatcher
         self.reader, self.socket_reader = routers_wire.RequestReader(names), SocketReader(accepted)
-        self.open_requests: dict[int, str | None] = {}  # requests' ids by number, None for a health check
+        self.open_requests: dict[int, str | None] = {}  # request ids by number; None for a health check
         self.outbox, self.outbox_reader = anyio.create_memory_object_stream[ClientMessage | None](OUTBOX_SIZE)
         self.scope = anyio.CancelScope()
         self.used_at = clock()
         self.notified_at = math.inf  # when the shutdown notice was queued
-        self.has_ended = False  # the client's sending half
-        self.incomplete_since = self.used_at  # since when the first message, or the rest of one, is awaited
+        self.has_ended = False  # the client has closed its sending half
+        self.incomplete_since = self.used_at  # since when a first or partial message has been incomplete
         self.invalid_requests = 0
         self.has_sent_message = False
         self.is_posting = False  # while messages that were read wait for the dispatcher's mailbox
         self.unsent_count = 0  # messages that are queued and not yet written
-        self.unwritten = memoryview(b"")  # of what is being written
+        self.unwritten = memoryview(b"")  # rest of the data that is being written
 
     def send(self, message: ClientMessage | None) -> None:
-        """Queue a message; None only wakes the writer. A client that reads no answers is disconnected."""
+        """Queue a message; None only wakes the writer. A client whose outbox is full is disconnected."""
         if isinstance(message, Answer | HealthAnswer):
             self.open_requests.pop(message.number, None)
         elif isinstance(message, ShutdownNotice):
@@ -94,8 +94,8 @@
     def evict(self) -> None:
         """Close it at once: its descriptor is free when this returns.
 
-        What may still cross the close is not waited for. Its task would close it two turns of the loop later,
-        and descriptors would run out in a burst of accepts.
+        Unlike `_end` it does not wait for data that is still on its way. The connection's task would close it
+        two loop iterations later, and a burst of accepts would run out of descriptors.
         """
         self.scope.cancel()
         self.socket_reader.stop()
@@ -105,18 +105,18 @@
         self.socket.close()
 
     def _finish_sending(self) -> None:
-        """Write what is queued, as far as it is taken at once, and end the sending half."""
+        """Write as much of the queued data as possible without blocking, and shut down the sending half."""
         with suppress(OSError):
             self.socket.send(b"".join([self.unwritten, *map(_encode, take_all(self.outbox_reader))]))
-        with suppress(OSError):  # the client's side is closed already
+        with suppress(OSError):  # the client has closed the connection already
             self.socket.shutdown(socket.SHUT_WR)
         self.unsent_count = 0
 
     async def _end(self) -> None:
-        """Write what is queued, end the sending half, read and drop what still comes, close the socket.
+        """Write queued data, shut down the sending half, discard late data, and close the socket.
 
-        A close over unread bytes is a reset, and a request that is read once no answer can be written must
-        not be handed on.
+        Closing a socket with unread data would reset the connection, and a request that is read once no
+        answer can be written must not be handled.
         """
         lost, self.open_requests = [id for id in self.open_requests.values() if id], {}
         self.socket_reader.stop()
@@ -131,7 +131,7 @@
         self.socket.close()
 
     def _discard_unread(self) -> bool:
-        """Drop what is unread; whether the client's side has ended too."""
+        """Discard unread data; return whether the client has closed its side too."""
         try:
             for _ in range(CLOSE_LINGER_READS):
                 if not self.socket.recv(READ_BYTES):
@@ -143,11 +143,11 @@
         return True
 
     def is_idle(self) -> bool:
-        """Whether closing it loses nothing: no request is open, nothing is queued and nothing is unread."""
+        """Whether it can be closed without loss: no open request, no queued message and no unread data."""
         return not self.open_requests and not self.unsent_count and not self.is_posting and self.is_quiet()
 
     def is_quiet(self) -> bool:
-        """Whether nothing is unread. A request that was written before the close would be lost with it."""
+        """Whether there is no unread data, in which a request could be lost when the connection is closed."""
         if not self.socket_reader.is_empty:
             return False
         if self.socket.fileno() < 0:
@@ -161,7 +161,7 @@
             while data := await self.socket_reader.take():
                 self.used_at = clock()
                 await self._feed(data)
-            self.has_ended = True  # what is open may still be answered
+            self.has_ended = True  # open requests may still be answered
             self.send(None)
         except OSError:
             self.scope.cancel()
@@ -174,7 +174,7 @@
         messages = self.reader.feed(data)
         self.is_posting = True
         for message in messages:
-            if not self.scope.cancel_called:  # else nobody would read the answer
+            if not self.scope.cancel_called:  # no answer can be written after that
                 await self._handle(message)
         self.is_posting = False
         self.has_sent_message = self.has_sent_message or bool(messages)
@@ -199,7 +199,7 @@
                 self._reject_invalid(number, reason)
 
     def _reject_invalid(self, number: int, reason: str) -> None:
-        """Reject a request that is not understood; a client that goes on sending them is disconnected."""
+        """Reject a malformed request; a client that sends too many of them is disconnected."""
         self._check_unused(number)
         logs.counters["invalid_requests"] += 1
         logs.log_peer_fault("invalid_request_received", reason=reason)
@@ -215,9 +215,9 @@
         self.open_requests[number] = id
 
     def _check_unused(self, number: int) -> None:
-        """The answer to a second message under an open number would pass for the answer to the first."""
+        """Reject a number that is still open: its two answers could not be told apart."""
         if number in self.open_requests:
-            raise InvalidFrameError(f"number {number} is open already")
+            raise InvalidFrameError(f"request number {number} is already in use")
 
     async def _write(self) -> None:
         try:
--- a/thymeyoke/server/dependency.py
+++ b/thymeyoke/server/dependency.py
@@ -1,7 +1,8 @@
-"""The client of the dependency (the database): its connections, and the calls that wait for a token.
+"""The client of the dependency (the database): its connections and the backlog of waiting calls.
 
-A connection carries one call at a time while there are enough of them: what spoils one reply costs no other.
-When a call may go out is decided in `slow_start`; what has no token yet waits here, up to its deadline.
+Each connection carries one call at a time until `MAX_CONNECTIONS` is reached, so that a broken connection
+affects one call. `slow_start` decides when a call may be sent; until then it waits in the backlog, up to its
+deadline.
 """
 
 from __future__ import annotations
@@ -25,24 +26,24 @@
 from thymeyoke.slow_start.controller import StartupController
 
 OUTBOX_SIZE = 1024
-MAX_CONNECTIONS = 32  # past that calls share them
-SWEEP_SECONDS = 0.25  # between looks at what is idle or incomplete
+MAX_CONNECTIONS = 32  # beyond this number calls share connections
+SWEEP_SECONDS = 0.25  # between checks for idle and stuck connections
 
 Message = StartCall | AbandonCall | AddressChanged
 
 
 class DependencyClient:
-    """Makes calls, and reports how each ended.
+    """Makes calls to the dependency and reports the outcome of each.
 
-    `connections` is emptied as they end, `in_flight` as calls do; `backlog` by tokens, by what is abandoned,
-    and by time.
+    An entry leaves `connections` when the connection ends, `in_flight` when the call ends, and `backlog` when
+    the call is started, abandoned or past its deadline.
     """
 
     def __init__(
         self, address: Address | None, dispatcher: MemoryObjectSendStream[Event],
         startup: StartupController | None = None,
     ) -> None:  # fmt: skip
-        """`address`: None where there is no dependency, and no call is made."""
+        """Create a client; `address` is None if there is no dependency, and then no call is made."""
         self.address, self.dispatcher = address, dispatcher
         self.startup = startup or StartupController(clock())
         self.rate_limiter = self.startup.rate_limiter
@@ -50,16 +51,14 @@
         self.connections: set[DependencyConnection] = set()
         self.in_flight: dict[str, DependencyConnection] = {}
         self.backlog: CallBacklog[StartCall] = CallBacklog()
-        self.deadlines: list[tuple[float, str]] = []  # a heap; emptied as these moments pass
+        self.deadlines: list[tuple[float, str]] = []  # a heap of deadlines and request ids
         self.next_sweep_at = 0.0
         self.last_turn_at, self.last_turn_monotonic = clock(), monotonic()
 
     def send(self, message: Message) -> bool:
-        """Queue a message; False: a call will not be made, and has not run."""
-        if isinstance(
-            message, AddressChanged
-        ):  # the old connections are still read: their calls may come back
-            self.address = message.address
+        """Queue a message; return False if a call will not be made."""
+        if isinstance(message, AddressChanged):
+            self.address = message.address  # connections to the old address are still read for replies
             self.rate_limiter.address_changed(clock())
         elif self.address is None and isinstance(message, StartCall):
             logs.counters["calls_without_dependency"] += 1
@@ -67,7 +66,7 @@
         try:
             self.outbox.send_nowait(message)
         except anyio.WouldBlock:
-            if isinstance(message, AddressChanged):  # the actor is awake, and finds the new address
+            if isinstance(message, AddressChanged):  # the actor is awake and will use the new address
                 return True
             logs.counters["dependency_outboxes_full"] += 1
             return False
@@ -90,14 +89,14 @@
                 await self._expire(now)
 
     def _detect_clock_stall(self, now: float) -> None:
-        """While the system's clock is set back, ours stands still: then real seconds count."""
+        """Report the real time passed while `clock` stands still because the system clock was set back."""
         real = monotonic()
         if now == self.last_turn_at:
             self.rate_limiter.clock_stalled(real - self.last_turn_monotonic)
         self.last_turn_at, self.last_turn_monotonic = now, real
 
     def _next_wakeup(self) -> float:
-        """When to look again, whatever is sent until then."""
+        """The time of the next wake-up if no message arrives before it."""
         moments = [self.deadlines[0][0]] if self.deadlines else []
         if self.connections or not self.rate_limiter.is_open:
             moments.append(self.next_sweep_at)
@@ -127,7 +126,7 @@
         heappush(self.deadlines, (call.deadline, call.id))
 
     async def _start_waiting(self, tasks: TaskGroup, now: float) -> None:
-        """Start calls of the backlog while there are tokens."""
+        """Start calls from the backlog while there are tokens."""
         while self.backlog and self.rate_limiter.has_token(now):
             call = self.backlog.take_next(now, self.startup.budget, self.rate_limiter.min_time_left)
             expired, self.backlog.expired = self.backlog.expired, []
@@ -156,9 +155,9 @@
         heappush(self.deadlines, (call.deadline, call.id))
 
     def _pick_connection(self, id: str, now: float) -> DependencyConnection | None:
-        """The idle connection that was used last; with all of them in use, the least busy; None: a new one.
+        """The most recently used idle connection, else the least busy one; None to open a new connection.
 
-        Those to an earlier address do not count: nothing new is accepted there, and they close soon.
+        Connections to an earlier address do not count towards `MAX_CONNECTIONS`: they take no new calls.
         """
         usable = [one for one in self.connections if one.accepts(id, self.address)]
         idle = [one for one in usable if not one.in_flight and now <= one.used_at + IDLE_SECONDS]
@@ -182,7 +181,7 @@
             self.connections.discard(connection)
 
     async def _call_ended(self, end: CallEnded) -> None:
-        """A call that went out is over."""
+        """Report the end of a call that was sent."""
         self.startup.call_ended(clock(), end.id, end.outcome, end.took)
         await self._report(end)
 
@@ -191,7 +190,7 @@
         await post(self.dispatcher, end)
 
     async def _expire(self, now: float) -> None:
-        """Abandon calls whose deadline has passed, and close connections that are of no more use."""
+        """Abandon calls whose deadline has passed, and close connections that are no longer useful."""
         while self.deadlines and self.deadlines[0][0] <= now:
             deadline, id = heappop(self.deadlines)
             await self._expire_call(now, deadline, id)
--- a/thymeyoke/server/dependency_connection.py
+++ b/thymeyoke/server/dependency_connection.py
@@ -1,4 +1,4 @@
-"""One connection to the dependency, and the calls on it."""
+"""One connection to the dependency and the calls that it carries."""
 
 from __future__ import annotations
 
@@ -19,29 +19,29 @@
 from thymeyoke.server.messages import AbandonCall, CallEnded, StartCall
 
 READ_BYTES = 1 << 16
-OUTBOX_SIZE = 64  # calls that one connection may have unsent
+OUTBOX_SIZE = 64  # unsent calls per connection
 CALLS_PER_CONNECTION = 256
-IDLE_SECONDS = 2.0  # the dependency closes an idle connection, or forgets it: no call should meet that
-INCOMPLETE_REPLY_SECONDS = 0.5  # after it the rest of a reply does not come any more
+IDLE_SECONDS = 2.0  # the dependency closes or drops idle connections; calls avoid those idle for longer
+INCOMPLETE_REPLY_SECONDS = 0.5  # a connection whose reply stays incomplete for longer is closed
 CONNECT_TIMEOUT_SECONDS = 1.0
 
 
 class CallInFlight(NamedTuple):
-    """A call that went out."""
+    """A call that was sent."""
 
     deadline: float
     started_at: float
 
 
 class DependencyConnection:
-    """One connection, made by `run`.
+    """One connection to the dependency; `run` opens it.
 
-    `in_flight` is emptied by replies, by what is abandoned, and with the connection; `carried_ids`, all
-    requests whose calls it ever carried, goes with it.
+    An entry leaves `in_flight` when its call is answered or abandoned, or the connection ends. `carried_ids`
+    holds the ids of all requests whose calls the connection has carried.
     """
 
     def __init__(self, address: Address, on_call_ended: Callable[[CallEnded], Awaitable[None]]) -> None:
-        """`on_call_ended` is awaited for each call that ends."""
+        """Create a connection; `on_call_ended` is awaited for each call that ends."""
         self.address, self.on_call_ended = address, on_call_ended
         self.reader = ReplyReader()
         self.outbox, self.outbox_reader = anyio.create_memory_object_stream[StartCall | AbandonCall](
@@ -51,18 +51,19 @@
         self.carried_ids: set[str] = set()
         self.scope = anyio.CancelScope()
         self.used_at = self.received_at = clock()
-        self.is_doubtful = False  # a call on it never came back: it gets no other
+        self.is_doubtful = False  # a call was abandoned on it, or it is closing; it takes no more calls
 
     def accepts(self, id: str, address: Address | None) -> bool:
         """Whether it can carry a call of this request to this address.
 
-        Replies name a request, not a call: a late or repeated one must not meet the request's next call.
+        Replies carry a request id and no call id, so a late or repeated reply could be taken for the reply to
+        the request's next call. A connection therefore carries at most one call of a request.
         """
         is_usable = not self.is_doubtful and self.address == address
         return is_usable and len(self.carried_ids) < CALLS_PER_CONNECTION and id not in self.carried_ids
 
     def start(self, call: StartCall, now: float) -> bool:
-        """Send a call; whether there was room for it."""
+        """Queue a call; return whether there was room for it."""
         try:
             self.outbox.send_nowait(call)
         except (anyio.WouldBlock, anyio.ClosedResourceError):
@@ -72,30 +73,30 @@
         return True
 
     def abandon(self, id: str) -> CallInFlight | None:
-        """Abandon a call: by a message while others are in flight, else by closing the connection."""
+        """Abandon a call: send a message if others are in flight, else close the connection."""
         call = self.in_flight.pop(id, None)
         self.is_doubtful = True
         if not self.in_flight:
             self.close()
         elif call:
-            # Without room it runs its course, for nobody; closed, the connection ends anyway.
+            # With a full outbox the call runs on; a closed outbox means that the connection ends.
             with suppress(anyio.WouldBlock, anyio.ClosedResourceError):
                 self.outbox.send_nowait(AbandonCall(id))
         return call
 
     def close(self) -> None:
-        """Close it; it gets no call while that takes its moment."""
+        """Close the connection; it takes no more calls from now on."""
         self.is_doubtful = True
         self.scope.cancel()
 
     def is_useless(self, now: float, address: Address | None) -> bool:
-        """Whether it should be closed: idle, doubtful, at an old address, or stuck in a reply."""
+        """Whether it should be closed: idle, doubtful, to an old address, or stuck within a reply."""
         is_stuck = self.reader.incomplete and now > self.received_at + INCOMPLETE_REPLY_SECONDS
         is_unusable = now > self.used_at + IDLE_SECONDS or not self.accepts("", address)
         return bool(is_stuck or (is_unusable and not self.in_flight))
 
     async def run(self) -> None:
-        """Connect, and carry calls until the connection ends; then report those that were lost."""
+        """Connect, carry calls until the connection ends, then report the calls that were lost."""
         stream, is_connected = None, False
         try:
             with self.scope:
@@ -119,7 +120,7 @@
         await self._report_lost(is_connected, unsent_ids)
 
     async def _report_lost(self, is_connected: bool, unsent_ids: set[str]) -> None:
-        """A connection that breaks proves nothing about its calls, but for those that were never sent."""
+        """Report calls lost with the connection; only calls that were never sent certainly did not run."""
         logs.counters["dependency_connections_lost"] += bool(self.in_flight) and is_connected
         for id in list(self.in_flight):
             was_sent = is_connected and id not in unsent_ids
@@ -150,7 +151,7 @@
 
     async def _call_ended(self, id: str, outcome: Outcome, body: bytes = b"") -> None:
         call = self.in_flight.pop(id, None)
-        if call is None:  # of a call that was abandoned, repeated, or nobody's
+        if call is None:  # a reply to an abandoned call, a repeated reply, or an unknown id
             logs.counters["dependency_unknown_replies"] += 1
             return
         self.used_at = clock()
--- a/thymeyoke/server/dependency_wire.py
+++ b/thymeyoke/server/dependency_wire.py
@@ -1,4 +1,4 @@
-"""The dependency's protocol: one line and a body out, one line and sometimes a body back. Pure."""
+"""The protocol of the dependency: each message is a head line, followed by a body in some of them."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 }
 MAX_REPLY_BYTES = 1 << 16
 MAX_HEAD_BYTES = 1 << 8
-MAX_QUOTED_BYTES = 80  # of a line that an error shows
+MAX_QUOTED_BYTES = 80  # of a line that an error message shows
 LINE_END = b"\r\n"
 MILLISECONDS_PER_SECOND = 1000
 
 
 class InvalidReplyError(ThymeyokeError):
-    """What the dependency sent is not of the protocol; its connection cannot go on."""
+    """Raised for a reply that violates the protocol; its connection is closed."""
 
 
 class Reply(NamedTuple):
-    """The end of a call."""
+    """The reply to a call."""
 
     id: str
     outcome: Outcome
@@ -36,14 +36,14 @@
 
 
 class ReplyReader:
-    """The replies of one connection, however their bytes are cut."""
+    """Decodes the replies of one connection, which may arrive in pieces of any size."""
 
     def __init__(self) -> None:
-        """Nothing was read yet."""
-        self.incomplete = b""  # octets of the reply that has begun
+        """Create a reader without any data."""
+        self.incomplete = b""  # received bytes of an incomplete reply
 
     def feed(self, data: bytes) -> list[Reply]:
-        """The replies that are complete now; `InvalidReplyError` for bytes that are none."""
+        """Add received data and return the complete replies; raises `InvalidReplyError` if one is invalid."""
         self.incomplete += data
         replies: list[Reply] = []
         while reply := self._next_reply():
@@ -53,7 +53,7 @@
     def _next_reply(self) -> Reply | None:
         head, end, after = self.incomplete.partition(LINE_END)
         if len(head) > MAX_HEAD_BYTES:
-            raise InvalidReplyError("a line does not end")
+            raise InvalidReplyError(f"the head line is longer than {MAX_HEAD_BYTES} bytes")
         if not end:
             return None
         id, outcome, size = _parse_head(head)
@@ -63,25 +63,25 @@
         if len(after) < size + len(LINE_END):
             return None
         if after[size : size + len(LINE_END)] != LINE_END:
-            raise InvalidReplyError(f"a body does not end where it should: {head[:MAX_QUOTED_BYTES]!r}")
+            raise InvalidReplyError(f"the body length does not match: {head[:MAX_QUOTED_BYTES]!r}")
         self.incomplete = after[size + len(LINE_END) :]
         return Reply(id, outcome, after[:size])
 
 
 def _parse_head(head: bytes) -> tuple[str, Outcome, int | None]:
-    """The id, the outcome, and the size of the body where one follows."""
+    """The request id, the outcome, and the size of the body if one follows."""
     try:
         id, word, *lengths = head.decode("ascii").split(" ")
         outcome, size = OUTCOMES[word], int(lengths[0]) if lengths else -1
     except (KeyError, ValueError):
-        raise InvalidReplyError(f"not a reply: {head[:MAX_QUOTED_BYTES]!r}") from None
+        raise InvalidReplyError(f"invalid head line: {head[:MAX_QUOTED_BYTES]!r}") from None
     if len(lengths) > 1 or not -1 <= size < MAX_REPLY_BYTES:
-        raise InvalidReplyError(f"not a reply: {head[:MAX_QUOTED_BYTES]!r}")
+        raise InvalidReplyError(f"invalid body length: {head[:MAX_QUOTED_BYTES]!r}")
     return id, outcome, None if size < 0 else size
 
 
 def encode(message: StartCall | AbandonCall, now: float) -> bytes:
-    """The octets of a message; a call says how many milliseconds are left."""
+    """Encode a message; a call carries the milliseconds left until its deadline."""
     if isinstance(message, AbandonCall):
         return f"X {message.id}".encode() + LINE_END
     time_left = max(1, ceil((message.deadline - now) * MILLISECONDS_PER_SECOND))
--- a/thymeyoke/server/dispatcher.py
+++ b/thymeyoke/server/dispatcher.py
@@ -1,8 +1,8 @@
-"""The actor around admission control: events in, one decision a batch, its actions carried out.
+"""The actor that drives admission control: it passes events in and carries out the actions that come back.
 
-It alone touches the `AdmissionController`, and decides nothing itself. What it adds are timers, gauges,
-health, the backpressure value that rides on answers, the drain, and a final answer to a request that would
-else have none.
+Only the dispatcher calls the `AdmissionController`, and it makes no admission decision of its own. It adds
+timers, gauge readings, health answers, the backpressure value sent with every answer, the drain, and a final
+answer for any request that would otherwise not get one.
 """
 
 from __future__ import annotations
@@ -61,25 +61,25 @@
 
 MAILBOX_SIZE = 4096
 COUNTERS_PERIOD_SECONDS = 10.0
-BATCHING_THRESHOLD = 4  # events in a batch from which on more are waited for
-MAX_DECISION_ROUNDS = 8  # of one batch, for what its actions lead to at once
+BATCHING_THRESHOLD = 4  # events; from this batch size on, wait briefly for more
+MAX_DECISION_ROUNDS = 8  # per batch, for events that its own actions cause immediately
 
 
 class Dispatcher:
-    """One app server's dispatcher; `connect_peers` gives it the actors that it sends to."""
+    """The dispatcher of one app server; call `connect_peers` before `run`."""
 
     def __init__(
         self, stop_timeout: float, settings: AdmissionSettings, results_limit: float = math.inf
     ) -> None:
-        """`results_limit`: bytes that retained results may take of this process's own memory."""
+        """Create a dispatcher; `results_limit` is the memory in bytes that retained results may use."""
         self.stop_timeout = stop_timeout
-        # The notice may be received late, by up to the slack of an answer. What reached the machine after the
-        # true end of the grace must not be run: this grace ends sooner by as much.
+        # The shutdown notice may be handled late, by up to `answer_slack`. Shorten the grace period by as
+        # much, so that no request that arrived after its real end is run.
         grace = max(0.0, settings.terms.drain_grace - settings.terms.answer_slack)
         self.settings = settings._replace(terms=settings.terms._replace(drain_grace=grace))
         self.classes, self.tick = settings.request_classes, settings.machine.tick
         self.inbox, self.events = anyio.create_memory_object_stream[Event](MAILBOX_SIZE)
-        self.controller: AdmissionController | None = None  # from when the processor is ready
+        self.controller: AdmissionController | None = None  # None until the processor is ready
         self.extensions = ExtensionHub()
         self.in_flight = InFlightRequests(
             self.classes,
@@ -99,7 +99,7 @@
         self, listener: Listener, processor: ProcessorClient, dependency: DependencyClient,
         endpoint_registry: EndpointRegistryClient,
     ) -> None:  # fmt: skip
-        """The actors that it sends to."""
+        """Set the actors that the dispatcher sends messages to."""
         self.listener, self.dependency = listener, dependency
         self.commands = ProcessorCommands(processor)
         self.executor = ActionExecutor(
@@ -108,7 +108,7 @@
         )  # fmt: skip
 
     def set_extensions(self, extensions: tuple[Extension, ...]) -> None:
-        """What the server carries from now on."""
+        """Replace the set of active extensions."""
         self.extensions.set_extensions(extensions)
 
     # The loop.
@@ -119,14 +119,14 @@
             while not self.drain.is_done:
                 batch = await self._collect()
                 if len(batch) >= BATCHING_THRESHOLD:
-                    # A turn for each event costs several times what the event does: under load they gather
-                    # for as long as batches lie apart by the settings. With few events nothing waits.
+                    # A loop iteration costs several times as much as handling one event, so under load events
+                    # are collected for one tick. Small batches are handled without this delay.
                     await anyio.sleep(self.tick)
                     batch += take_all(self.events)
                 self.process_batch(clock(), batch)
 
     async def _collect(self) -> list[Event]:
-        """Wait for an event or the next moment, then take all that is there."""
+        """Wait for an event or the next due time, then take all queued events."""
         if batch := take_all(self.events):
             return batch
         with anyio.move_on_after(max(0.0, self.next_moment() - clock())):
@@ -134,23 +134,23 @@
         return batch + take_all(self.events)
 
     def next_moment(self) -> float:
-        """When to look again, whatever happens until then."""
+        """The time of the next wake-up if no event arrives before it."""
         moments = [self.next_counters_at, *self.timers.next_moments()]
         moments += [heap[0][0] for heap in (self.in_flight.deadlines,) if heap]
         moments += self.drain.next_moments(self.in_flight.unanswered > 0)
         if self.drain.plan and self.extensions.observers:
             moments.append(
                 clock() + GAUGE_LEAD_SECONDS
-            )  # answers that wait for a disk are the observers' own
+            )  # observers may still hold answers that wait for a disk write
         return min(moments)
 
     def process_batch(self, now: float, batch: list[Event]) -> None:
-        """Handle all that happened and is due at one moment."""
+        """Handle a batch of events, expired timers and deadlines, and the decisions that follow."""
         for event in batch:
             self._guarded(self.handle, now, event)
         self._guarded(self._handle_expired, now)
         self.execute_decisions(now)
-        if self.drain.must_answer_all(now):  # after the policy's word on what was read just now
+        if self.drain.must_answer_all(now):  # after the policy has decided on the requests of this batch
             for request in list(self.in_flight.by_id.values()):
                 self._fail_unanswered(now, request)
         if now >= self.next_counters_at:
@@ -166,7 +166,7 @@
         )
 
     def _guarded(self, do: Callable[..., Any], *args: Any) -> Any:
-        """An error in the policy, or here, ends neither the server nor the answers due."""
+        """Call a function; log an exception instead of letting it stop the dispatcher."""
         try:
             return do(*args)
         except Exception as error:
@@ -219,7 +219,7 @@
             self.warm_at = now - event.age + overload.warm_up_timeout
         self.controller = AdmissionController(now - event.age, self.settings._replace(overload=overload))
         logs.log_event(logging.INFO, "processor_ready", is_cold=event.is_cold, age_seconds=event.age)
-        if self.drain.plan:  # the notice came first: without it, all would be run whenever it reached us
+        if self.drain.plan:  # shutdown was requested before the controller existed
             self._announce_shutdown(self.controller, self.drain.plan)
 
     def _status(self) -> ServerStatus:
@@ -253,9 +253,9 @@
         if request is None or self.controller is None:
             logs.counters["unknown_runs_ended"] += 1
             return
-        request.run_time = max(request.run_time, run_time)  # reported anew with each stop and end
+        request.run_time = max(request.run_time, run_time)  # cumulative; reported at each stop and at the end
         request.last_command = None
-        if outcome is Outcome.STOPPED and request.is_paused and not request.is_answered:  # its answer is owed
+        if outcome is Outcome.STOPPED and request.is_paused and not request.is_answered:  # will be resumed
             self._guarded(self.controller.run_ended, now, id, outcome)
             return
         request.is_over = True
@@ -269,7 +269,7 @@
         self.executor.answer_repeats(now, id, self.retained.complete(id, result), result)
 
     def _reuse_ended(self, now: float, id: str, outcome: Outcome) -> None:
-        """A request was answered with the result of another one."""
+        """Report a request that was answered with the result of another request."""
         if self.controller:
             self._guarded(self.controller.run_ended, now, id, outcome)
 
@@ -284,13 +284,12 @@
         self.controller.call_ended(now, event.id, event.outcome, event.took)
 
     def _command_rejected(self, now: float, event: CommandRejected) -> None:
-        """Handle a command that the processor refused.
+        """Handle a command that the processor rejected.
 
-        A run that it did not begin ends here as one that never ran: its time tells nothing of its class, and
-        its key is free for a request that can run. Refused otherwise, a run goes on or has ended.
+        A rejected start ends the run as NOT_STARTED, so it adds no sample to the run times of its class, and
+        its idempotency key is released. After any other rejected command the run continues or has ended.
 
-        Of a start that went out on two links it is not proven that it never ran, and its key stays retained:
-        its retries fail.
+        A start that was sent on two links may have run, so its key stays retained and its retries fail.
         """
         id, command = event
         logs.counters["commands_rejected"] += 1
@@ -302,7 +301,7 @@
                 self.executor.release_key(now, id)
 
     def _begin_drain(self, now: float, at: float) -> None:
-        """Begin the drain; all its times count from `at`, when the notice came."""
+        """Begin the drain; all its times are relative to `at`, when the shutdown notice arrived."""
         if self.drain.plan:
             return
         plan = plan_drain(at, self.stop_timeout, self.settings.terms.drain_grace)
@@ -310,8 +309,8 @@
             logging.INFO, "graceful_shutdown_started", stop_seconds=self.stop_timeout,
             requests_in_flight=len(self.in_flight), heard_after_seconds=now - at,
         )  # fmt: skip
-        # Routers hear of it seconds later, and the policy admits what comes within the grace: with the
-        # listener closed at once that would be missing, while those who take over are still cold.
+        # Routers learn of the drain seconds later, and the policy admits requests during the grace period.
+        # Keep the listener open until then: the servers that take over may still be warming up.
         self.drain.begin(plan, self.extensions.extends_drain, bool(self.listener.connections))
         self.extensions.drain_started(self.drain.listener_closes_at)
         if self.controller:
@@ -320,12 +319,12 @@
             self.executor.execute(now, actions.ReportHealth(from_store=True, is_healthy=False))
 
     def _announce_shutdown(self, controller: AdmissionController, plan: DrainPlan) -> None:
-        """Notify the policy, with timers that fit into the time left."""
+        """Notify the policy, and make its timers expire within the time left."""
         time_left = plan.policy_stop(controller.interval) - plan.notice_at
         controller.shutdown_announced(plan.notice_at, time_left)
         self.timers.expire_by(plan.last_timer_at)
 
-    # Moments that pass.
+    # Expired timers and deadlines.
 
     def _handle_expired(self, now: float) -> None:
         self.retained.purge(now)
@@ -345,12 +344,12 @@
             elif self.controller:
                 try:
                     self.controller.timer_expired(now, timer.mark, self.gauges)
-                except Exception:  # it would never set a timer again
+                except Exception:  # the policy sets its next timer in this call, so set it here instead
                     self.timers.set(now, timer.mark, self.settings.terms.answer_slack)
                     raise
 
     def _fail_unanswered(self, now: float, request: InFlightRequest) -> None:
-        """A final answer that the policy owed."""
+        """Fail a request that the policy has not answered in time."""
         if request.is_answered:
             return
         self.in_flight.answer(request, Verdict.FAILED)
@@ -361,7 +360,7 @@
     # Actions.
 
     def execute_decisions(self, now: float) -> None:
-        """Carry out the policy's actions, and report to it what they lead to at once."""
+        """Carry out the policy's actions, and handle the events that they cause immediately."""
         self.intake.batch_over()
         for _ in range(MAX_DECISION_ROUNDS):
             decided: list[Action] = (
--- a/thymeyoke/server/drain.py
+++ b/thymeyoke/server/drain.py
@@ -1,30 +1,31 @@
-"""The moments of an app server's drain, and how far it has come. Pure."""
+"""The schedule of an app server's drain and its progress, without I/O."""
 
 from __future__ import annotations
 
 import math
 from typing import NamedTuple
 
-STOP_MARGIN_SECONDS = 0.15  # with all answered, the process ends this long before it would be killed
-FINAL_ANSWER_MARGIN_SECONDS = 0.1  # likewise: by now all is answered, whatever the policy decides
+STOP_MARGIN_SECONDS = 0.15  # before the kill; the process ends then if all requests are answered
+FINAL_ANSWER_MARGIN_SECONDS = 0.1  # before the kill; requests that are still unanswered fail then
 TIMER_DELAY_SECONDS = 0.02  # timers may expire this late
-LATE_REQUEST_WINDOW_SECONDS = 0.06  # after the last answer: a request may cross the closing of a connection
+LATE_REQUEST_WINDOW_SECONDS = 0.06  # after the last answer, for requests already on their way
 
 
 class DrainPlan(NamedTuple):
-    """The moments of a drain. They keep their order whatever stop timeout and grace the settings name."""
+    """The times of a drain, in this order for any stop timeout and grace period."""
 
     notice_at: float
-    listener_closes_at: float  # no connection is accepted any more, and clients are notified
-    stops_at: float  # with all answered the process ends from here on
-    last_timer_at: float  # the policy has given up all that is left
-    final_answers_at: float  # what has no answer by now is failed
+    listener_closes_at: float  # the listener closes and clients get a shutdown notice
+    stops_at: float  # from here on the process ends once all requests are answered
+    last_timer_at: float  # latest expiry of the policy's timers
+    final_answers_at: float  # requests without an answer fail
     killed_at: float
 
     def policy_stop(self, interval: float) -> float:
-        """The stop that the policy is notified of.
+        """The stop time to announce to the policy.
 
-        It gives up what is left at a timer that may expire as late as one `interval` before its stop.
+        The policy gives up its remaining requests at a timer that expires up to one `interval` before the
+        stop time, so this time is at most one interval after the last timer.
         """
         return min(self.killed_at, self.last_timer_at + interval)
 
@@ -32,13 +33,13 @@
 def plan_drain(notice_at: float, stop_timeout: float, grace: float) -> DrainPlan:
     """Plan a drain; a short stop timeout shrinks all margins.
 
-    `grace` is how long requests are still admitted, in seconds.
+    `grace` is the time in seconds during which requests are still admitted.
     """
     killed_at = notice_at + stop_timeout
     shrink = min(1.0, stop_timeout / (2 * STOP_MARGIN_SECONDS))
     stops_at = killed_at - shrink * STOP_MARGIN_SECONDS
     final_answers_at = killed_at - shrink * FINAL_ANSWER_MARGIN_SECONDS
-    # A client that was notified may have a request on its way: the process is still there for it.
+    # Clients may still have requests on their way when they get the notice; leave time to answer them.
     listener_closes_at = min(notice_at + min(grace, stop_timeout / 2), stops_at - LATE_REQUEST_WINDOW_SECONDS)
     last_timer_at = final_answers_at - shrink * TIMER_DELAY_SECONDS
     return DrainPlan(
@@ -47,7 +48,7 @@
 
 
 class DrainState:
-    """How far a drain has come; before the notice `plan` is None and nothing is ever due."""
+    """The progress of a drain; `plan` is None and nothing is due before the shutdown notice."""
 
     def __init__(self) -> None:
         self.plan: DrainPlan | None = None
@@ -56,17 +57,17 @@
         self.all_connections_closed = self.is_done = False
 
     def begin(self, plan: DrainPlan, is_extended: bool, has_connections: bool) -> None:
-        """The notice has come. `is_extended`: clients come until the listener closes, and a while after."""
+        """Begin the drain; if `is_extended`, the process runs at least until the listener closes."""
         self.plan, self.listener_closes_at = plan, plan.listener_closes_at
         if is_extended:
             self.not_before = plan.listener_closes_at
         elif not has_connections:
-            # Nobody is left to wait for, and the process is about to end: a connection that was accepted
-            # meanwhile would be reset.
+            # There are no clients to wait for and the process is about to end. A connection that was
+            # accepted now would be reset.
             self.listener_closes_at = plan.notice_at
 
     def next_moments(self, has_unanswered: bool) -> list[float]:
-        """When to look again."""
+        """The times at which the drain has to be checked again."""
         if self.plan is None:
             return []
         if not has_unanswered and self.ends_at < math.inf:
@@ -75,18 +76,18 @@
         return [self.listener_closes_at, stop]
 
     def must_answer_all(self, now: float) -> bool:
-        """Whether what is left is failed now."""
+        """Whether all unanswered requests have to fail now."""
         return self.plan is not None and now >= self.plan.final_answers_at
 
     def take_listener_close(self, now: float) -> bool:
-        """Whether the listener is to be closed now; only once."""
+        """Whether to close the listener now; true once."""
         if now < self.listener_closes_at:
             return False
         self.listener_closes_at = math.inf
         return True
 
     def update_end(self, now: float, has_unanswered: bool, has_pending_answers: bool) -> None:
-        """Find out whether the process may end: a client that has not yet read the notice may still ask."""
+        """Update `is_done`; a short window leaves time for clients that have not read the notice yet."""
         if self.plan is None or has_unanswered:
             return
         must_stop = now >= self.plan.stops_at
--- a/thymeyoke/server/endpoint_registry.py
+++ b/thymeyoke/server/endpoint_registry.py
@@ -1,6 +1,6 @@
-"""The client of the endpoint registry, by which routers find this server.
+"""The client of the endpoint registry, in which routers look up this server.
 
-It sends HTTP reports over one persistent connection. When they go out is decided in `slow_start`.
+It sends HTTP reports over one persistent connection; `slow_start` decides when to send them.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 
 def processor_seconds() -> float:
-    """Processor seconds of this process; where the system does not tell them, so many that nothing waits."""
+    """CPU seconds used by this process, or infinity if the system does not report them."""
     try:
         return process_time()
     except OSError:
@@ -38,7 +38,7 @@
 
 
 class ReportRejectedError(ThymeyokeError):
-    """The registry did not accept a report."""
+    """Raised when the registry does not accept a report."""
 
 
 FAILURES = (
@@ -53,10 +53,10 @@
 
 
 class EndpointRegistryClient:
-    """Reports this server's health about once a second. A registry that is away disturbs nothing else."""
+    """Reports this server's health about once a second; failures to report have no other effect."""
 
     def __init__(self, address: Address, name: str, startup: StartupController | None = None) -> None:
-        """`name`: of the server, in the registry."""
+        """Create a client; `name` is the server's name in the registry."""
         self.address, self.path = address, f"/ns/hosts/{quote(name, safe='')}"
         self.is_healthy = self.reported_health = True
         self.outbox, self.outbox_reader = anyio.create_memory_object_stream[HealthChanged | AddressChanged](
@@ -70,7 +70,7 @@
         self.logged_state = self.startup.state
 
     def send(self, message: HealthChanged | AddressChanged) -> None:
-        """Apply a change at once; the mailbox only wakes the actor, and may be full while a report hangs."""
+        """Apply a change at once and wake the actor; a full mailbox, while a report hangs, is harmless."""
         if isinstance(message, AddressChanged):
             self.address = message.address
         else:
@@ -94,13 +94,13 @@
                 await self._attempt_report()
                 self._log_state()
                 continue
-            with anyio.move_on_after(max(0.0, self.heartbeat.wake_at - clock())) as wait:
+            with anyio.move_on_after(max(0.0, self.heartbeat.next_check_at - clock())) as wait:
                 self._handle(await self.outbox_reader.receive())
-            if wait.cancelled_caught and clock() < self.heartbeat.wake_at:  # our clock stands still
+            if wait.cancelled_caught and clock() < self.heartbeat.next_check_at:  # our clock was set back
                 self.heartbeat.send_now(clock())
 
     async def _attempt_report(self) -> None:
-        """Send one report, and account for what came of it."""
+        """Send one report, and record whether it was accepted."""
         now = clock()
         given_up_at = self.startup.report_sent(now)
         try:
@@ -121,7 +121,7 @@
             logs.log_event(logging.INFO, "startup_state_changed", state=self.logged_state.value)
 
     def _handle(self, message: HealthChanged | AddressChanged) -> None:
-        """What is new is reported at once: another health, or another registry."""
+        """Report at once when the health or the registry's address has changed."""
         if isinstance(message, AddressChanged) or self.is_healthy != self.reported_health:
             self.heartbeat.send_now(clock())
 
@@ -168,4 +168,4 @@
             elif isinstance(event, h11.EndOfMessage):
                 return status
             elif isinstance(event, h11.ConnectionClosed):
-                raise ReportRejectedError("closed without an answer")
+                raise ReportRejectedError("the registry closed the connection without an answer")
--- a/thymeyoke/server/extension_hub.py
+++ b/thymeyoke/server/extension_hub.py
@@ -1,4 +1,4 @@
-"""The extensions that an app server carries, as its dispatcher sees them."""
+"""The active extensions of an app server, behind one interface for the dispatcher."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 class ExtensionHub:
-    """Passes on what extensions are to know; with none of them it costs nothing."""
+    """Passes events on to the active extensions; costs nothing if there are none."""
 
     def __init__(self) -> None:
         self.extensions: tuple[Extension, ...] = ()
         self.observers: tuple[RequestObserver, ...] = ()
 
     def set_extensions(self, extensions: tuple[Extension, ...]) -> None:
-        """What the server carries from now on."""
+        """Replace the set of active extensions."""
         self.extensions = extensions
         self.observers = tuple(
             cast(RequestObserver, extension) for extension in extensions if extension.observes_requests
@@ -23,15 +23,15 @@
 
     @property
     def extends_drain(self) -> bool:
-        """Whether a drain lasts until the listener closes, though all is answered."""
+        """Whether a drain lasts until the listener closes even if all requests are answered."""
         return any(extension.extends_drain for extension in self.extensions)
 
     def accepts_requests(self) -> bool:
-        """Whether all observers let requests in."""
+        """Whether all observers accept new requests."""
         return all(observer.accepts_requests() for observer in self.observers)
 
     def has_pending_answers(self) -> bool:
-        """Whether an observer has answers that are still to be sent."""
+        """Whether an observer still has answers to send."""
         return any(observer.has_pending_answers() for observer in self.observers)
 
     def drain_started(self, listener_closes_at: float) -> None:
@@ -40,7 +40,7 @@
             extension.notify(DrainStarted(listener_closes_at))
 
     def request_completed(self, completion: RequestCompletion) -> None:
-        """Notify observers of the end of a request; the first one gets the answer to send."""
+        """Notify the observers of a completed request; only the first one gets the answer to send."""
         for observer in self.observers:
             observer.request_completed(completion)
             completion = completion._replace(client=None, answer=None)
--- a/thymeyoke/server/idempotency.py
+++ b/thymeyoke/server/idempotency.py
@@ -1,4 +1,4 @@
-"""Retained requests, their results, and the repeats that wait for one."""
+"""Retained requests, their results, and the retries that wait for a result."""
 
 from __future__ import annotations
 
@@ -10,32 +10,32 @@
 
 PURGE_PERIOD_SECONDS = 1.0
 
-IdempotencyKey = tuple[int, str]  # a request class, and what all attempts of a request have in common
+IdempotencyKey = tuple[int, str]  # the request class, and the key that all attempts of a request share
 
 
 class Result(NamedTuple):
-    """What came of a retained request."""
+    """The result of a retained request."""
 
-    body: bytes | None  # None where it failed or never ran
+    body: bytes | None  # None if it failed or never ran
     completed_at: float
 
 
 class RetainedRequest:
-    """A retained request. A repeat finds it while it lives, by when the repeat reached the machine."""
+    """A retained request; it matches retries that reached the machine before `expires_at`."""
 
     def __init__(
         self, id: str, key: IdempotencyKey, expires_at: float, freshness: float, body_hash: int
     ) -> None:
-        """`freshness`: seconds that its result may answer others; 0: until it expires."""
+        """Retain a request; for `freshness` seconds, if not 0, its result answers other requests."""
         self.id, self.key = id, key
         self.expires_at, self.freshness = expires_at, freshness
-        self.body_hash = body_hash  # all attempts of one request carry the same body
+        self.body_hash = body_hash  # a request with another body is not a retry of this one
         self.result: Result | None = None
-        self.waiting_ids: list[str] = []  # emptied by the result
-        self.previous_id: str | None = None  # the request whose key this one took over
+        self.waiting_ids: list[str] = []  # retries that wait for the result
+        self.previous_id: str | None = None  # the request that held this key before
 
     def answers(self, reached_at: float) -> bool:
-        """Whether a repeat that reached the machine then may get its result."""
+        """Whether a retry that reached the machine at `reached_at` may get its result."""
         if reached_at > self.expires_at:
             return False
         result = self.result
@@ -45,30 +45,31 @@
 
 
 class IdempotencyCache:
-    """Retained requests; `by_key` and `by_id` are emptied by `purge` as they expire, and by `release`.
+    """Retained requests by id and by key; `purge` removes expired ones.
 
-    Entries outlive their expiry by `max_queueing_delay`, the longest that a request can wait to be read: a
-    repeat counts by when it reached the machine. Results take `max_bytes` in all; past that the bodies of the
-    oldest go and their keys stay: their repeats fail, and none is run.
+    Entries are kept for `max_queueing_delay` past their expiry, the longest that a request can wait to be
+    read, because a retry is matched by the time at which it reached the machine. Results take at most
+    `max_bytes` in total: beyond that the oldest bodies are dropped while their keys stay, so that retries of
+    those requests fail and are not run.
     """
 
     def __init__(self, max_queueing_delay: float, max_bytes: float = math.inf) -> None:
-        """Seconds, and bytes."""
+        """Create a cache; `max_queueing_delay` is in seconds."""
         self.max_queueing_delay, self.next_purge_at = max_queueing_delay, 0.0
         self.max_bytes, self.size_bytes = max_bytes, 0
-        self.ids_with_body: OrderedDict[str, None] = OrderedDict()  # by when the results came
+        self.ids_with_body: OrderedDict[str, None] = OrderedDict()  # oldest result first
         self.by_key: dict[IdempotencyKey, RetainedRequest] = {}
         self.by_id: dict[str, RetainedRequest] = {}
 
     def find(self, key: IdempotencyKey, reached_at: float) -> str | None:
-        """The request whose result answers a repeat with this key; the newest one stands for older ones."""
+        """The id of the newest retained request with this key, if its result may answer a retry."""
         retained = self.by_key.get(key)
         return retained.id if retained and retained.answers(reached_at) else None
 
     def retain(
         self, id: str, key: IdempotencyKey, expires_at: float, freshness: float = 0.0, body_hash: int = 0
     ) -> None:
-        """Retain a request, or renew it; a newer request takes its key over."""
+        """Retain a request, or extend its expiry; a newer request takes over the key."""
         if retained := self.by_id.get(id):
             retained.expires_at = expires_at
             return
@@ -78,7 +79,7 @@
         self.by_key[key] = self.by_id[id] = retained
 
     def release(self, id: str) -> list[str]:
-        """Drop a request's entry; the repeats that waited for it."""
+        """Drop a request's entry; return the ids of the retries that waited for it."""
         retained = self.by_id.pop(id, None)
         if retained is None:
             return []
@@ -88,9 +89,9 @@
         return retained.waiting_ids
 
     def _restore_previous(self, retained: RetainedRequest) -> None:
-        """Give the key of a request that is dropped back to the one before it.
+        """Give the key of a dropped request back to the previous request that held it.
 
-        A retry of that one that is read late must still not run.
+        A late retry of that previous request must still not run.
         """
         previous = self.by_id.get(retained.previous_id) if retained.previous_id else None
         if previous is not None and previous.key == retained.key:
@@ -99,7 +100,7 @@
             del self.by_key[retained.key]
 
     def complete(self, id: str, result: Result) -> list[str]:
-        """A request's run is over; the repeats that waited for its result."""
+        """Store a request's result; return the ids of the retries that waited for it."""
         retained = self.by_id.get(id)
         if retained is None:
             return []
@@ -120,7 +121,7 @@
             retained.result = retained.result._replace(body=None)
 
     def result_for(self, id: str, original_id: str | None) -> Result | None:
-        """The result for a repeat, or None where it has to wait; of an unknown request nothing came."""
+        """The result for a retry, None if it has to wait, or an empty result if the original is unknown."""
         retained = self.by_id.get(original_id) if original_id is not None else None
         if retained is None:
             return Result(None, 0.0)
@@ -129,7 +130,7 @@
         return retained.result
 
     def purge(self, now: float) -> None:
-        """Drop what has expired; what has no result yet is in flight, and goes later."""
+        """Drop expired entries; an entry without a result is still in flight and only loses its key."""
         if now < self.next_purge_at:
             return
         self.next_purge_at = now + PURGE_PERIOD_SECONDS
--- a/thymeyoke/server/in_flight.py
+++ b/thymeyoke/server/in_flight.py
@@ -23,28 +23,28 @@
         self, client: ClientHandle, number: int, header: RequestHeader, key: IdempotencyKey | None,
         client_timeout: float,
     ) -> None:  # fmt: skip
-        """`client_timeout`: seconds that the client waits where the request does not name them."""
+        """Create a request; `client_timeout` in seconds applies if the request does not carry one."""
         self.client, self.number, self.header, self.key = client, number, header, key
         self.deadline = header.received_at + (header.client_timeout or client_timeout)
         self.is_answered = self.has_started = self.is_over = self.is_paused = self.is_calling = False
-        self.original_id: str | None = None  # of the request whose result answers this one
-        self.last_command: Command | None = None  # until the processor has proven that it read it
-        self.sent_on_link = 0  # the link on which the last command went out; 0: on none
-        self.was_resent = False  # the last command went out on two links
-        self.call_body = b""  # of the dependency call that its run waits for
-        self.run_time = 0.0  # seconds, as the processor reported them
+        self.original_id: str | None = None  # the request whose result answers this one
+        self.last_command: Command | None = None  # kept until the processor has acknowledged it
+        self.sent_on_link = 0  # number of the link that the last command was sent on; 0 for none
+        self.was_resent = False  # the last command was sent on two links
+        self.call_body = b""  # body of the dependency call that the run waits for
+        self.run_time = 0.0  # seconds, as reported by the processor
         self.calls = 0  # dependency calls made
         self.verdict: Verdict | None = None
         self.observers_notified = False
 
     @property
     def is_off_cores(self) -> bool:
-        """Whether it did not start, or its run is over."""
+        """Whether it uses no core: it has not started, or its run is over."""
         return self.is_over or not self.has_started
 
 
 class InFlightRequests:
-    """All requests in flight. Each gets exactly one answer, and goes once it is off the cores as well."""
+    """All requests in flight; each gets exactly one answer and is removed once it is off the cores too."""
 
     def __init__(
         self, classes: tuple[RequestClass, ...], terms: ServiceTerms, extensions: ExtensionHub,
@@ -54,21 +54,21 @@
         self.abandon_call = abandon_call
         self.by_id: dict[str, InFlightRequest] = {}
         self.unanswered = 0
-        self.deadlines: list[tuple[float, str]] = []  # a heap; emptied as these moments pass
-        self.backpressure: float | None = None  # rides on every answer
+        self.deadlines: list[tuple[float, str]] = []  # a heap of expiry times and request ids
+        self.backpressure: float | None = None  # sent with every answer
 
     def __len__(self) -> int:
         return len(self.by_id)
 
     def add(self, now: float, request: InFlightRequest) -> None:
-        """A request is in flight from now on."""
+        """Add a request."""
         self.by_id[request.header.id] = request
         self.unanswered += 1
         expires_at = max(now, request.deadline) + self.terms.answer_slack
         heappush(self.deadlines, (expires_at, request.header.id))
 
     def take_expired(self, now: float) -> Iterator[InFlightRequest]:
-        """Requests whose deadline has passed, each once."""
+        """Take the requests whose deadline has passed, each of them once."""
         while self.deadlines and self.deadlines[0][0] <= now:
             moment, id = heappop(self.deadlines)
             if (request := self.by_id.get(id)) and request.deadline <= moment:
@@ -84,14 +84,14 @@
         request.verdict = verdict
         answer = Answer(request.number, verdict, body, self.backpressure, retry_after, is_terminal)
         logs.counters[f"requests_{verdict.value}"] += 1
-        if self.extensions.observers and request.is_off_cores:  # this is its end, and its use is known
+        if self.extensions.observers and request.is_off_cores:  # it ends here, and its resource use is known
             self._notify_observers(request, len(body), answer)
         else:
             request.client.send(answer)
         self.close(request)
 
     def close(self, request: InFlightRequest) -> None:
-        """Answered, or nobody waits: its dependency call is abandoned; it goes once off the cores."""
+        """Mark a request as answered or abandoned, abandon its dependency call, and remove it if possible."""
         request.is_answered = True
         self.unanswered -= 1
         if request.is_calling:
@@ -100,7 +100,7 @@
         self.drop_if_over(request)
 
     def drop_if_over(self, request: InFlightRequest) -> None:
-        """Forget a request that is answered and off the cores."""
+        """Remove a request if it is answered and off the cores."""
         if request.is_answered and request.is_off_cores:
             self.by_id.pop(request.header.id, None)
             if self.extensions.observers and not request.observers_notified:
--- a/thymeyoke/server/intake.py
+++ b/thymeyoke/server/intake.py
@@ -1,4 +1,4 @@
-"""Requests that were read: checked, matched with the ones that they repeat, submitted to the policy."""
+"""Checks incoming requests, matches retries with their original and submits them to the policy."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from thymeyoke.server.in_flight import InFlightRequest, InFlightRequests
 from thymeyoke.server.messages import UNKNOWN, RequestHeader, RequestReceived
 
-LEAST_TIME_LEFT_SECONDS = 0.001  # less would mean that the time left is unknown
+LEAST_TIME_LEFT_SECONDS = 0.001  # above zero, which means an unknown time left
 
 
 class RequestIntake:
-    """Takes requests in. `batch_keys` knows the attempts of one batch, which are not retained yet."""
+    """Accepts incoming requests; `batch_keys` holds the keys of this batch, which are not retained yet."""
 
     def __init__(
         self, settings: AdmissionSettings, in_flight: InFlightRequests, retained: IdempotencyCache,
@@ -26,27 +26,27 @@
     ) -> None:  # fmt: skip
         self.settings, self.classes = settings, settings.request_classes
         self.in_flight, self.retained, self.extensions = in_flight, retained, extensions
-        self.batch_keys: dict[IdempotencyKey, str] = {}  # ids of requests; emptied by `batch_over`
+        self.batch_keys: dict[IdempotencyKey, str] = {}  # request ids; cleared by `batch_over`
 
     def batch_over(self) -> None:
-        """The events of this batch are in."""
+        """End a batch of events."""
         self.batch_keys.clear()
 
     def client_gone(self, request: InFlightRequest) -> None:
-        """Nobody waits for it: the next attempt of its key in this batch does not repeat it."""
+        """Forget an abandoned request, so that a later attempt in this batch does not wait for it."""
         if request.key and self.batch_keys.get(request.key) == request.header.id:
             del self.batch_keys[request.key]
 
     def receive(self, now: float, controller: AdmissionController | None, event: RequestReceived) -> None:
-        """A request was read; `controller` is None while the processor is not ready."""
+        """Handle an incoming request; `controller` is None while the processor is not ready."""
         client, number, header = event
         backpressure = self.in_flight.backpressure
         if controller is None or header.id in self.in_flight.by_id:
             logs.counters["unexpected_requests"] += 1
             return client.send(Answer(number, Verdict.REJECTED, backpressure=backpressure))
         if header.id in self.retained.by_id:
-            # No router uses an id twice. Admitted, it would stand for the retained request of that id, and
-            # its end would release that request's key: the next attempt would run once more.
+            # A correct router never reuses an id. If this request were admitted, its end would release the
+            # idempotency key of the retained request, and the next attempt would run a second time.
             logs.counters["unexpected_requests"] += 1
             return client.send(Answer(number, Verdict.FAILED, backpressure=backpressure))
         if not self.extensions.accepts_requests():
@@ -56,17 +56,17 @@
                 Answer(number, Verdict.REJECTED, backpressure=backpressure, retry_after=retry_after)
             )
         key = self._key_of(header)
-        # By a clock that is ahead an attempt would lie behind the window of the run that it repeats.
+        # If the client's clock is ahead, `received_at` could lie after the original's retention period.
         original_id = self._find_original(key, min(header.received_at, now)) if key else None
         if original_id and header.idempotency_key and not self._has_same_body(original_id, header):
-            # All attempts of one request carry the same body: this is none of them, and gets none of its
-            # result.
+            # All attempts of a request carry the same body, so this is a different request that reuses the
+            # key. It must not get the result.
             logs.counters["mismatched_bodies"] += 1
             return client.send(Answer(number, Verdict.FAILED, backpressure=backpressure))
         self._submit(now, controller, event, key, original_id)
 
     def _key_of(self, header: RequestHeader) -> IdempotencyKey | None:
-        """What attempts of the same request have in common, where their result may be shared."""
+        """The key that all attempts of a request share, or None if its result must not be shared."""
         if self.classes[header.class_index].idempotency is Idempotency.WITH_KEY:
             mark = header.idempotency_key
         else:
@@ -74,10 +74,10 @@
         return (header.class_index, mark) if mark else None
 
     def _find_original(self, key: IdempotencyKey, reached_at: float) -> str | None:
-        """The retained request that an attempt with this key repeats, or the one that came in this batch.
+        """The id of the retained request, or of one in this batch, that an attempt with this key repeats.
 
-        Two attempts in one batch know each other though the earlier is not retained yet. A run that was not
-        begun ends its request, and this batch may have more attempts of it.
+        An earlier attempt in the same batch counts although it is not retained yet, unless it has already
+        ended, as after a start that the processor rejected.
         """
         if retained := self.retained.find(key, reached_at):
             return retained
@@ -118,8 +118,8 @@
             queueing_delay=max(0.0, now - header.received_at),
         ))  # fmt: skip
         if key:
-            # The next attempt in this batch repeats the same original, unless the original is rejected: then
-            # this request runs, and the next attempt repeats it.
+            # The next attempt in this batch repeats the same original. If the policy does not reuse the
+            # original's result, this request is the one that runs and that later attempts repeat.
             is_reusing = original_id is not None and controller.is_reusing_result(header.id)
             self.batch_keys[key] = original_id if original_id is not None and is_reusing else header.id
         logs.log_event(
--- a/thymeyoke/server/lifecycle.py
+++ b/thymeyoke/server/lifecycle.py
@@ -1,4 +1,4 @@
-"""One app server: its actors, put together and run until its drain is over."""
+"""One app server: creates its actors and runs them until the drain is over."""
 
 from __future__ import annotations
 
@@ -29,31 +29,31 @@
 from thymeyoke.slow_start.controller import StartupController
 from thymeyoke.slow_start.rate_limiter import rate_limits
 
-GC_THRESHOLDS = (10000, 10, 10)  # requests leave next to no cycles behind
-RESULTS_MEMORY_SHARE = 1 / 4  # of the process's memory: what retained results may take
-FLUSH_SECONDS = 0.05  # that last answers may take to be written
-RESTART_BACKOFF_SECONDS = 0.1  # until an actor that failed starts again
+GC_THRESHOLDS = (10000, 10, 10)  # requests create almost no reference cycles
+RESULTS_MEMORY_SHARE = 1 / 4  # of the process's memory limit, for retained results
+FLUSH_SECONDS = 0.05  # for writing the last answers
+RESTART_BACKOFF_SECONDS = 0.1  # before a failed actor is restarted
 LISTEN_RETRY_SECONDS = 0.05  # between attempts to bind an address that is in use
-PREDECESSOR_EXIT_SECONDS = 1.0  # past its stop until a killed predecessor is gone, with its listener
-# What asyncio allocates for a read. Whatever stays alive behind a larger piece leaves gaps that the next one
-# does not fit in, and the heap grows for as long as the server runs.
+PREDECESSOR_EXIT_SECONDS = 1.0  # until a killed predecessor has released its address
+# The size of asyncio's read buffers. Larger ones fragment the heap, which then grows for as long as the
+# server runs.
 READ_BUFFER_BYTES = 1 << 14
 selector_events._SelectorTransport.max_size = READ_BUFFER_BYTES  # type: ignore[attr-defined]
 
 
 class AppServer:
-    """The actors of one app server, and the two files that can be read again while it runs."""
+    """The actors of one app server, and the two files that it reloads on SIGHUP."""
 
     def __init__(
         self, start_file: StartFile, read_server_settings: Callable[[], ServerSettings],
         read_service_config: Callable[[], ServiceConfig],
     ) -> None:  # fmt: skip
-        """The functions read the start file and the service configuration again, on SIGHUP.
+        """Create the actors; the two functions read the start file and the service configuration on SIGHUP.
 
-        The second one also reads the service configuration at the start.
+        `read_service_config` is also called at the start.
         """
         settings, names, admission = start_file
-        self.settings = settings  # the last ones that were applied
+        self.settings = settings  # the settings that were applied last
         self.read_server_settings, self.read_service_config = read_server_settings, read_service_config
         self.dispatcher = Dispatcher(
             settings.stop_timeout, admission, RESULTS_MEMORY_SHARE * settings.memory_limit
@@ -73,7 +73,7 @@
         self.dispatcher.set_extensions(extensions.create_extensions(read_service_config(), self.context))
 
     async def run(self, address: Address, task_status: TaskStatus[Address]) -> None:
-        """Run all actors until the dispatcher is done. `address`: where the listener listens."""
+        """Run all actors until the dispatcher is done; `address` is the listener's bound address."""
         async with anyio.create_task_group() as tasks:
             for actor in (self.listener, self.processor, self.dependency, self.endpoint_registry):
                 tasks.start_soon(_run_with_restarts, actor.run)
@@ -86,7 +86,7 @@
             tasks.cancel_scope.cancel()
 
     def close(self) -> None:
-        """Free what the actors hold; none of them runs any more."""
+        """Release the actors' resources once none of them runs any more."""
         self.dispatcher.inbox.close()
         self.dispatcher.events.close()
         self.listener.close()
@@ -99,18 +99,18 @@
     async def _handle_signals(
         self, tasks: TaskGroup, *, task_status: TaskStatus[None] = anyio.TASK_STATUS_IGNORED
     ) -> None:
-        """Take signals until the server ends.
+        """Handle signals until the server ends.
 
-        SIGTERM is the shutdown notice; a second one changes nothing. SIGHUP asks to read the files again,
-        during a drain as well.
+        SIGTERM or SIGINT begins the drain; further ones have no effect. SIGHUP reloads the files, also during
+        a drain.
         """
-        notices: list[float] = []  # when each came: the event loop hears of it only after its turn
+        notices: list[float] = []  # when each signal arrived; the event loop handles it later
 
-        def record_notice(*_: Any) -> None:  # not by `clock`, which it may interrupt
+        def record_notice(*_: Any) -> None:  # `clock` is not reentrant, and the signal may interrupt it
             notices.append(time())
 
         with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals:
-            for number in early_signals.SHUTDOWN_SIGNALS:  # what wakes the event loop stays
+            for number in early_signals.SHUTDOWN_SIGNALS:  # the event loop is still woken by each signal
                 signal.signal(number, record_notice)
                 signal.siginterrupt(number, False)
             if (waited_since := early_signals.unblock()) is not None:
@@ -127,10 +127,10 @@
                 early_signals.reblock()
 
     def _reload_start_file(self) -> None:
-        """Peers may have other addresses. What else the file says waits for the next start."""
+        """Apply changed peer addresses; all other settings take effect at the next start."""
         try:
             new = self.read_server_settings()
-        except Exception as error:  # whatever is wrong with it, what was read before still holds, completely
+        except Exception as error:  # keep all of the old settings
             logs.counters["start_file_errors"] += 1
             return logs.log_event(logging.ERROR, "start_file_rejected", error)
         old, self.settings = self.settings, new
@@ -140,9 +140,8 @@
             (self.endpoint_registry, old.endpoint_registry, new.endpoint_registry),
         )
         for peer, last_address, address in peers:
-            # The registry's client applies an address only when its report is over: by `peer.address` alone
-            # one that is restored before that would change nothing, and the address between the two would
-            # stay.
+            # Compare with the last settings too: the registry's client applies a new address only after its
+            # current report, so `peer.address` may still be the old one when an address is changed back.
             if last_address != address or peer.address != address:
                 peer.send(AddressChanged(address))  # type: ignore[arg-type]
         logs.log_event(
@@ -150,7 +149,7 @@
         )
 
     def _reload_service_config(self, tasks: TaskGroup) -> None:
-        """Whatever is wrong with the new one, the old one stays in force, completely."""
+        """Apply a new service configuration; after any error the old one stays in force completely."""
         present = self.dispatcher.extensions.extensions
         try:
             all_extensions, added = extensions.reload_extensions(
@@ -168,10 +167,10 @@
     read_service_config: Callable[[], ServiceConfig] = dict,
     *, task_status: TaskStatus[Address] = anyio.TASK_STATUS_IGNORED,
 ) -> None:  # fmt: skip
-    """Run one app server until its drain is over; `StartFileError` where its address cannot be had.
+    """Run one app server until its drain is over; raises `StartFileError` if it cannot bind its address.
 
-    The functions read the start file and the service configuration again, on SIGHUP; the second one at the
-    start as well.
+    The two functions read the start file and the service configuration on SIGHUP; `read_service_config` is
+    also called at the start.
     """
     settings = start_file.server
     server = AppServer(start_file, read_server_settings, read_service_config)
@@ -193,14 +192,14 @@
 def _tune_garbage_collector() -> None:
     gc.set_threshold(*GC_THRESHOLDS)
     gc.collect()
-    gc.freeze()  # what was made at the start stays, and need not be looked at again
+    gc.freeze()  # exclude the objects created at the start from later collections
 
 
 async def _listen(listener: Listener, settings: ServerSettings) -> Address | None:
-    """The address once it is bound; None where a shutdown notice came first.
+    """Bind the address; return None if a shutdown was requested before that succeeded.
 
-    A restarted server can find its address in use by the one before it, which drains until it is killed, the
-    stop timeout past its notice at the latest. Nobody can reach the new one before, so nothing is owed.
+    After a restart the previous server may still be draining on this address, until it is killed at the end
+    of its stop timeout. No client can have reached the new server by then.
     """
     longest_wait = settings.stop_timeout + PREDECESSOR_EXIT_SECONDS
     give_up_at = clock() + longest_wait
@@ -223,7 +222,7 @@
 
 
 async def _run_with_restarts(run: Callable[[], Awaitable[None]]) -> None:
-    """An error that an actor did not foresee ends what it does, not the server."""
+    """Run an actor, and restart it after an unexpected error."""
     while True:
         try:
             return await run()
--- a/thymeyoke/server/listener.py
+++ b/thymeyoke/server/listener.py
@@ -1,4 +1,4 @@
-"""The listener of an app server: accepts connections and closes those that are unused."""
+"""The listener of an app server: accepts connections and closes unused ones."""
 
 from __future__ import annotations
 
@@ -25,24 +25,24 @@
     ShutdownNotice,
 )
 
-SPARE_DESCRIPTORS = 56  # kept for the peers, dependency calls and the interpreter
+SPARE_DESCRIPTORS = 56  # for the peers, dependency connections and the interpreter
 ACCEPT_BACKOFF_SECONDS = 0.05  # after a failed accept
-ACCEPTS_PER_TURN = 64  # of the event loop
-SHUTDOWN_NOTICE_GRACE_SECONDS = 1.0  # a notified client closes by itself; past this the server does
-INCOMPLETE_MESSAGE_SECONDS = 1.5  # a router sends its first message, and the rest of one, within this
+ACCEPTS_PER_TURN = 64  # per iteration of the event loop
+SHUTDOWN_NOTICE_GRACE_SECONDS = 1.0  # time for a notified client to close its connection itself
+INCOMPLETE_MESSAGE_SECONDS = 1.5  # time for a client to complete its first or a partial message
 FLUSH_POLL_SECONDS = 0.005
-SWEEP_SECONDS = 0.25  # between looks at what is unused or incomplete
+SWEEP_SECONDS = 0.25  # between checks for unused connections and incomplete messages
 SWEEPS_PER_IDLE_TIMEOUT = 10
 
 
 class Listener:
-    """Accepts connections and closes what is unused. `connections` is emptied as they end."""
+    """Accepts connections and closes unused ones; a connection leaves `connections` when it ends."""
 
     def __init__(
         self, names: RequestNames, max_descriptors: int, idle_timeout: float,
         dispatcher: MemoryObjectSendStream[Event],
     ) -> None:  # fmt: skip
-        """`idle_timeout`: seconds after which clients close unused connections themselves; 0: never."""
+        """Create a listener; clients close connections unused for `idle_timeout` seconds (0 for never)."""
         self.names, self.dispatcher = names, dispatcher
         self.max_connections = max(1, max_descriptors - SPARE_DESCRIPTORS)
         self.connections: set[ClientConnection] = set()
@@ -62,9 +62,9 @@
                 connection.send(ShutdownNotice())
 
     async def listen(self, address: Address) -> Address:
-        """Listen, and return the address with its port; OSError where it cannot be had.
+        """Bind the address and return it with the actual port; raises `OSError` if that fails.
 
-        Clients that reconnect all at once wait in the backlog, as many as there is room for later.
+        The backlog has room for `max_connections`, so that many clients can reconnect at the same time.
         """
         listener = await anyio.create_tcp_listener(
             local_host=address.host, local_port=address.port, backlog=self.max_connections
@@ -74,14 +74,14 @@
         return Address(str(bound[0]), int(bound[1]))
 
     async def run(self) -> None:
-        """Accept until the listener is closed, and serve until the last connection has ended."""
+        """Accept connections until the listener is closed, and serve them until the last one has ended."""
         async with anyio.create_task_group() as self.tasks:
             self.tasks.start_soon(self._sweep_periodically)
             with suppress(anyio.ClosedResourceError):
                 await self._accept()
 
     async def flush(self) -> None:
-        """Wait until all that is queued is written; some client may never take it."""
+        """Wait until all queued messages are written; may never return if a client does not read."""
         while any(connection.unsent_count for connection in self.connections):
             await anyio.sleep(FLUSH_POLL_SECONDS)
 
@@ -97,10 +97,10 @@
                 await anyio.sleep(ACCEPT_BACKOFF_SECONDS)
 
     def _accept_waiting(self, max_accepts: int) -> bool:
-        """Accept what waits; False where the system allows no more.
+        """Accept waiting connections; return False if the system refuses to accept more.
 
-        There is no turn of the loop between an accept and the connection's place in `connections`: one that
-        was cancelled there would be reset, with the request that was written on it.
+        This does not yield between an accept and adding the connection to `connections`. A cancellation in
+        between would reset the connection and lose a request that was sent on it.
         """
         for _ in range(max_accepts):
             if self.socket is None or self.tasks is None:
@@ -109,12 +109,12 @@
                 accepted, _ = self.socket.accept()
             except (BlockingIOError, ConnectionAbortedError):
                 return True
-            except OSError as error:  # no descriptors
+            except OSError as error:  # out of descriptors
                 logs.counters["accepts_failed"] += 1
                 logs.log_event(logging.WARNING, "accept_failed", error)
                 return False
             if len(self.connections) >= self.max_connections and not self._evict_connection():
-                accepted.close()  # nothing ran for it: its client may go elsewhere
+                accepted.close()  # no request was read, so the client can safely try another server
                 continue
             self._start_connection(self.tasks, accepted)
         return True
@@ -127,7 +127,7 @@
         tasks.start_soon(self._serve, connection)
 
     def _close_socket(self) -> None:
-        """Close the listener, with nobody in its backlog: what was written there is this server's already."""
+        """Accept the connections in the backlog, which may carry requests, then close the listener."""
         if self.socket is None:
             return
         before = len(self.connections)
@@ -142,10 +142,10 @@
         )
 
     def _evict_connection(self) -> bool:
-        """Close an unused connection for a new one; whether there was any.
+        """Close an unused connection to make room for a new one; return whether there was one.
 
-        A client that never sent a complete message goes first, then the one that sent its last one longest
-        ago.
+        Connections that are closing already go first, then those that never sent a complete message, then the
+        ones unused for longest.
         """
         logs.counters["connections_over_limit"] += 1
         unused = [
@@ -178,12 +178,12 @@
             self._sweep(clock())
 
     def _sweep(self, now: float) -> None:
-        """Close connections that were idle for long and have no open request, after a notice to the client.
+        """Notify, then close, clients whose connections are idle and have no open request.
 
-        An incomplete message ends its connection too, once what is open beside it is answered.
+        A connection with a message that stays incomplete is closed once its open requests are answered.
         """
         for connection in list(self.connections):
-            if connection.scope.cancel_called:  # it ends already
+            if connection.scope.cancel_called:  # already closing
                 continue
             is_incomplete = now > connection.incomplete_since + INCOMPLETE_MESSAGE_SECONDS
             if is_incomplete and connection.is_idle():
@@ -198,9 +198,9 @@
                 connection.send(ShutdownNotice())
 
     def _close_notified(self, now: float, connection: ClientConnection) -> None:
-        """Close a connection whose client was notified and did not close it itself."""
+        """Close a connection that a notified client has not closed itself."""
         reads_no_answers = now > connection.used_at + self.client_idle_timeout
-        # A slow writer may be in the middle of a message that it began before it read the notice.
+        # The client may be in the middle of a message that it began before it read the notice.
         is_unused = connection.is_idle() and not connection.reader.is_incomplete()
         if is_unused or reads_no_answers:
             connection.scope.cancel()
--- a/thymeyoke/server/messages.py
+++ b/thymeyoke/server/messages.py
@@ -1,7 +1,7 @@
-"""What the actors of an app server send each other: small values, free of any protocol's names.
+"""The messages between the actors of an app server, independent of any wire protocol.
 
-Peers post to the dispatcher and wait while its mailbox is full; the dispatcher sends to peers and never
-waits.
+Peers post to the dispatcher and wait while its mailbox is full; the dispatcher never waits when it sends to
+them.
 """
 
 from __future__ import annotations
@@ -12,18 +12,18 @@
 from thymeyoke.configuration.start_file import Address
 from thymeyoke.runtime.extensions import Answer, StatusQuery
 
-UNKNOWN = 0.0  # a client timeout or a work hint that the client does not give
+UNKNOWN = 0.0  # stands for a client timeout or work hint that the client did not send
 
 
 class RequestHeader(NamedTuple):
-    """A request as it was read."""
+    """The decoded fields of a request."""
 
     id: str
     class_index: int
     tenant: int
     client: int
     received_at: float  # when it reached this machine
-    client_timeout: float  # from `received_at` until the client abandons this attempt; may be UNKNOWN
+    client_timeout: float  # seconds from `received_at` until the client gives up; may be UNKNOWN
     size: float  # kilobytes
     priority: float
     idempotency_key: str | None  # the same for all attempts of a request
@@ -45,14 +45,14 @@
 
 
 class ShutdownNotice(NamedTuple):
-    """Send nothing new on this connection: the server leaves, or closes an idle connection."""
+    """Tells a client to send no new requests: the server shuts down or closes an idle connection."""
 
 
 ClientMessage = Answer | HealthAnswer | ShutdownNotice
 
 
 class ClientHandle(Protocol):
-    """A client's connection; it never makes the dispatcher wait."""
+    """A client's connection; `send` does not block."""
 
     def send(self, message: ClientMessage) -> None:
         """Queue a message for the client."""
@@ -77,34 +77,33 @@
 
 
 class ClientGone(NamedTuple):
-    """The client does not wait any more for this request; another client's of the same id is not meant."""
+    """The client has abandoned its request with this id; other clients' requests are not affected."""
 
     id: str
     client: ClientHandle
 
 
 class AllConnectionsClosed(NamedTuple):
-    """The listener is closed, and no connection is left."""
+    """The listener is closed and the last connection has ended."""
 
 
 class ShutdownRequested(NamedTuple):
-    """The shutdown notice, and when it came."""
+    """A shutdown was requested."""
 
     at: float
 
 
 class ProcessorReady(NamedTuple):
-    """The processor is up."""
+    """The processor is ready to run requests."""
 
     is_cold: bool
     age: float  # seconds since its start
 
 
 class ProcessorSynced(NamedTuple):
-    """All that ended while the processor was out of reach has been reported; commands go out on this link.
+    """The processor has reported all runs that ended while it was unreachable; this link takes commands.
 
-    Commands that went out on earlier links and are `possibly_lost` with them have not been read, as far as
-    the processor has proven.
+    The processor has not acknowledged the `possibly_lost` commands, which were sent on earlier links.
     """
 
     link: int
@@ -116,7 +115,7 @@
 
 
 class RunEnded(NamedTuple):
-    """A run is over, or was stopped."""
+    """A run has ended or was stopped."""
 
     id: str
     outcome: Outcome
@@ -132,20 +131,20 @@
 
 
 class GaugesRead(NamedTuple):
-    """Readings of the machine's gauges, in the order of its settings."""
+    """Readings of the machine's gauges, in the order of `Machine.gauges`."""
 
     values: tuple[float, ...]
 
 
 class CommandRejected(NamedTuple):
-    """A command that the processor did not carry out."""
+    """The processor rejected a command."""
 
     id: str
     command: type[Command] | None
 
 
 class CallEnded(NamedTuple):
-    """A dependency call is over."""
+    """A dependency call has ended."""
 
     id: str
     outcome: Outcome
@@ -157,7 +156,7 @@
 
 
 class StartRun(NamedTuple):
-    """Start a request."""
+    """Start running a request."""
 
     id: str
     class_index: int
@@ -177,27 +176,27 @@
 
 
 class ContinueWithoutCall(NamedTuple):
-    """Continue a run without the dependency call that it waits for."""
+    """Continue a run without the result of the dependency call that it waits for."""
 
     id: str
 
 
 class CallResult(NamedTuple):
-    """What came back from the dependency call that a run waits for."""
+    """The result of the dependency call that a run waits for."""
 
     id: str
     body: bytes
 
 
 class ReadGauges(NamedTuple):
-    """Ask for the gauges."""
+    """Request a reading of the gauges."""
 
 
 # From the dispatcher to the dependency, the endpoint registry and the listener.
 
 
 class StartCall(NamedTuple):
-    """Make a dependency call; abandon it at `deadline`, a moment of the clock."""
+    """Make a dependency call; abandon it at `deadline`, a time of `clock`."""
 
     id: str
     deadline: float
@@ -211,19 +210,19 @@
 
 
 class HealthChanged(NamedTuple):
-    """Report this health to the endpoint registry."""
+    """The health to report to the endpoint registry."""
 
     is_healthy: bool
 
 
 class AddressChanged(NamedTuple):
-    """The peer has another address from now on; what is in flight with it carries over."""
+    """The peer has a new address; work in flight with it continues."""
 
     address: Address
 
 
 class IdleTimeoutChanged(NamedTuple):
-    """Close connections that were unused for so many seconds."""
+    """Close connections that have been unused for this many seconds."""
 
     seconds: float
 
--- a/thymeyoke/server/processor.py
+++ b/thymeyoke/server/processor.py
@@ -1,4 +1,4 @@
-"""The client of the processor: keeps a link up, sends commands and reports notices."""
+"""The client of the processor: keeps a link open, sends commands and reports notices."""
 
 from __future__ import annotations
 
@@ -33,13 +33,13 @@
 
 
 class ProcessorClient:
-    """Keeps the link up. What a lost link swallowed the dispatcher sends again, once in sync."""
+    """Keeps the link open; after a link loss the dispatcher sends lost commands again on the next one."""
 
     def __init__(
         self, address: Address, names: RequestNames, dispatcher: MemoryObjectSendStream[Event],
         startup: StartupController | None = None,
     ) -> None:  # fmt: skip
-        """`names`: of the request classes, in their order."""
+        """Create a client; `names` gives the request classes in order."""
         self.address, self.dispatcher = address, dispatcher
         self.class_names = list(names.request_classes)
         self.connector = (startup or StartupController(clock())).connector
@@ -47,13 +47,13 @@
         self.outbox, self.outbox_reader = anyio.create_memory_object_stream[Command | RequestSync](
             OUTBOX_SIZE
         )
-        self.scope = anyio.CancelScope()  # of the present link
-        self.link = self.cursor = 0  # numbers of the link, and of the last notice that was read
+        self.scope = anyio.CancelScope()  # of the current link
+        self.link = self.cursor = 0  # numbers of the current link and of the last notice that was read
         self.unacknowledged = UnacknowledgedCommands()
 
     def send(self, command: Command | RequestSync | AddressChanged) -> None:
-        """Queue a command; where there is no room, the link is given up and made anew."""
-        if isinstance(command, AddressChanged):  # the new link continues after the last notice of the old one
+        """Queue a command; if the outbox is full, close the link and open a new one."""
+        if isinstance(command, AddressChanged):  # the next link continues after the last notice read
             self.address = command.address
             return self.scope.cancel()
         try:
@@ -73,7 +73,7 @@
             except (OSError, TimeoutError):
                 await self._wait(self.connector.connect_failed(clock()))
                 continue
-            if address != self.address:  # changed meanwhile: the old one accepts no commands for long
+            if address != self.address:  # changed while connecting; the old one stops taking commands
                 await anyio.aclose_forcefully(stream)
                 continue
             await self._run_link(stream)
@@ -95,7 +95,7 @@
         await self._wait(backoff)
 
     async def _wait(self, backoff: float) -> None:
-        """Wait until the next attempt. That the start has failed is logged once."""
+        """Wait until the next attempt; log once that the processor is unreachable."""
         status = self.connector.status(clock())
         if status is ConnectorStatus.FAILED and self.logged_status is not status:
             attempts = self.connector.failures
@@ -104,7 +104,7 @@
         await anyio.sleep(backoff)
 
     async def _serve_link(self, stream: ByteStream) -> None:
-        # What was queued for the link before: the dispatcher sends it again.
+        # Commands queued for the previous link; the dispatcher sends them again.
         self.unacknowledged.link_lost(clock(), take_all(self.outbox_reader))
         with anyio.CancelScope() as self.scope:
             async with anyio.create_task_group() as tasks:
@@ -129,7 +129,7 @@
             while True:
                 *lines, incomplete = (incomplete + await stream.receive(READ_BYTES)).split(b"\n")
                 if len(incomplete) > MAX_LINE_BYTES:
-                    raise InvalidLineError("a line is too long")
+                    raise InvalidLineError(f"a line is longer than {MAX_LINE_BYTES} bytes")
                 for line in lines:
                     await self._handle_line(line)
         except (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError):
@@ -141,13 +141,13 @@
     async def _handle_line(self, line: bytes) -> None:
         cursor, event = decode(line, self.link)
         if cursor:
-            if cursor <= self.cursor:  # it was read on an earlier link
+            if cursor <= self.cursor:  # already read on an earlier link
                 return
             self.cursor = cursor
         match event:
             case ProcessorReady():
                 self.connector.ready(clock())
-                # A processor that is not up carries out no command: what was written before is lost as well.
+                # The processor discards commands that it reads before it is ready.
                 self.unacknowledged.link_lost(clock())
                 self.send(RequestSync(self.link))
             case GaugesRead():
--- a/thymeyoke/server/processor_commands.py
+++ b/thymeyoke/server/processor_commands.py
@@ -1,4 +1,4 @@
-"""Commands to the processor, and which of them must go out again on a new link."""
+"""Sends commands to the processor, and sends them again on a new link where needed."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class CommandReceiver(Protocol):
-    """The client of the processor; it never waits."""
+    """The client of the processor; `send` does not block."""
 
     def send(self, command: Command) -> None:
         """Queue a command for the processor."""
@@ -19,17 +19,17 @@
 class ProcessorCommands:
     """Sends commands while the processor is in sync.
 
-    It keeps the last one of each request until the processor has provably read it.
+    It keeps the last command of each request until the processor has acknowledged it.
     """
 
     def __init__(self, processor: CommandReceiver) -> None:
         self.processor = processor
-        self.link = 0  # the synced link; 0 while there is none
-        self.after_answers: list[Command] = []  # wait for the batch's answers; emptied by `flush`
+        self.link = 0  # number of the synced link; 0 while there is none
+        self.after_answers: list[Command] = []  # sent by `flush`, after the answers of the batch
 
     @property
     def is_connected(self) -> bool:
-        """Whether commands go out at once."""
+        """Whether commands are sent at once."""
         return self.link > 0
 
     def send(self, request: InFlightRequest, command: Command) -> None:
@@ -39,25 +39,25 @@
             self.processor.send(command)
 
     def stop(self, request: InFlightRequest) -> None:
-        """Stop a run, after the answers of this batch."""
+        """Stop a run once the answers of this batch are sent."""
         request.is_paused = True
         self.after_answers.append(StopRun(request.header.id))
 
     def flush(self) -> None:
-        """Send what waited for answers."""
+        """Send the commands that waited for the answers."""
         for command in self.after_answers:
             self.processor.send(command)
         self.after_answers.clear()
 
     def read_gauges(self) -> None:
-        """Ask for the gauges, where somebody can answer."""
+        """Request a gauge reading if the processor is connected."""
         if self.link:
             self.processor.send(ReadGauges())
 
     def synced(self, link: int, possibly_lost: frozenset[str], requests: Iterable[InFlightRequest]) -> None:
-        """A link is in sync: send again what is still open and was never sent, or may be lost.
+        """Start using a synced link: send the commands that were never sent or may have been lost.
 
-        What is proven to have come through is not sent again: its run may end just now.
+        Acknowledged commands are not sent again, as their run may be ending.
         """
         self.link = link
         for request in requests:
@@ -69,5 +69,5 @@
                 self.processor.send(StopRun(id))
 
     def disconnected(self) -> None:
-        """The link is lost."""
+        """Handle the loss of the link."""
         self.link = 0
--- a/thymeyoke/server/processor_wire.py
+++ b/thymeyoke/server/processor_wire.py
@@ -1,4 +1,4 @@
-"""The processor's protocol: commands out, notices in, one JSON object a line. Pure."""
+"""The protocol of the processor: commands and notices as JSON objects, one per line."""
 
 from __future__ import annotations
 
@@ -43,33 +43,33 @@
 GAUGES_TICKET = "gauges"
 SYNC_TICKET = "sync"  # followed by the link's number
 MILLISECONDS_PER_SECOND = 1000
-MAX_QUOTED_BYTES = 80  # of a line that an error shows
+MAX_QUOTED_BYTES = 80  # of a line that an error message shows
 
 
 class InvalidLineError(ThymeyokeError):
-    """What the processor sent is not of the protocol; its link cannot go on."""
+    """Raised for a line from the processor that violates the protocol; its link is closed."""
 
 
 class RequestSync(NamedTuple):
-    """Ask for a sign that all notices from before this link have been sent."""
+    """Request a confirmation that all notices from before this link have been sent."""
 
     link: int
 
 
 class Notice(NamedTuple):
-    """One line of the processor."""
+    """One line from the processor."""
 
-    cursor: int  # its number; 0 where it has none
-    event: Event | None  # None: nothing that the dispatcher needs to know
+    cursor: int  # the line's number; 0 if it has none
+    event: Event | None  # None if the dispatcher does not need it
 
 
 def encode_hello(cursor: int) -> bytes:
-    """The first line of a link: the number of the last notice that was read."""
+    """Encode the first line of a link, with the number of the last notice that was read."""
     return orjson.dumps({"event": "hello", "cursor": cursor}) + b"\n"
 
 
 def encode(command: Command | RequestSync, class_names: list[str]) -> bytes:
-    """The line of a command. `class_names`: request classes, by index."""
+    """Encode a command as a line; `class_names` holds the request classes by index."""
     line: dict[str, Any]
     match command:
         case StartRun(id, class_index, body):
@@ -91,7 +91,7 @@
 
 
 def decode(line: bytes, link: int) -> Notice:
-    """Read a line that came on this link; `InvalidLineError` where it is none of the protocol."""
+    """Decode a line received on this link; raises `InvalidLineError` if it is invalid."""
     try:
         fields: dict[str, Any] = orjson.loads(line)
         return Notice(int(fields.get("cursor", 0)), _decode_event(fields, link))
--- a/thymeyoke/server/routers_wire.py
+++ b/thymeyoke/server/routers_wire.py
@@ -1,6 +1,6 @@
-"""The protocol between routers and an app server: MessagePack-RPC to and from small typed values.
+"""The MessagePack-RPC protocol between routers and an app server.
 
-Here alone stand the protocol's names of methods and fields.
+This module alone knows the protocol's method and field names; it maps them to typed messages.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 MAX_NUMBER = 1 << 32
 MAX_REQUEST_SIZE = 2000.0  # kilobytes
 MAX_TIMEOUT_SECONDS = 3600.0
-MAX_CLOCK_SKEW_SECONDS = 1.0  # a request has reached the machine already, by clocks that are about the same
+MAX_CLOCK_SKEW_SECONDS = 1.0  # how far in the future a request's arrival time may be
 ID_LENGTH = 16
 MILLISECONDS_PER_SECOND = 1000
 HEALTH_CHECK_METHOD, SHUTDOWN_METHOD = "alive", "leaving"
@@ -39,13 +39,13 @@
 
 
 class CancelMessage(NamedTuple):
-    """The client does not wait any more for a request."""
+    """The client has abandoned a request."""
 
     number: int
 
 
 class InvalidRequestMessage(NamedTuple):
-    """A request that can be answered, but not understood."""
+    """A malformed request whose number is known, so that it can be answered."""
 
     number: int
     reason: str
@@ -55,7 +55,7 @@
 
 
 class RequestReader(FrameReader[Message]):
-    """The messages of one router connection."""
+    """Decodes the messages of one router connection."""
 
     def __init__(self, request_names: RequestNames) -> None:
         super().__init__()
@@ -71,7 +71,7 @@
                         return HealthCheckMessage(number)
                     case [dict(fields), bytes(body)]:
                         return self._request(number, method, fields, body)
-                return InvalidRequestMessage(number, "arguments are not fields and a body")
+                return InvalidRequestMessage(number, "the arguments must be a map of fields and a body")
             case [2 as kind, "cancelRequest", [int(number)]] if are_integers(kind, number):
                 return CancelMessage(number)
         raise InvalidFrameError(f"unknown message {str(frame)[:80]}")
@@ -82,13 +82,16 @@
         except (KeyError, TypeError, ValueError) as error:
             return InvalidRequestMessage(number, f"{type(error).__name__} {error}")
         if header is None:
-            return InvalidRequestMessage(number, "a number is out of bounds")
+            return InvalidRequestMessage(number, "a number is out of range")
         if not (isinstance(header.id, str) and len(header.id) == ID_LENGTH and header.id.isalnum()):
-            return InvalidRequestMessage(number, "ref is not an id")
+            return InvalidRequestMessage(number, f"ref must be {ID_LENGTH} letters and digits")
         return RequestMessage(number, header)
 
     def _header(self, method: str, fields: dict[str, str], body: bytes) -> RequestHeader | None:
-        """None where a number is out of bounds; KeyError, TypeError or ValueError for other faults."""
+        """Decode a request; None if a number is out of range.
+
+        Raises KeyError, TypeError or ValueError for other invalid fields.
+        """
         received_at, timeout = _integer(fields["since"]) / MILLISECONDS_PER_SECOND, fields.get("allow")
         client_timeout = UNKNOWN if timeout is None else _integer(timeout) / MILLISECONDS_PER_SECOND
         size, priority = float(fields["room"]), float(fields["class_rank"])
@@ -123,15 +126,15 @@
 
 
 def _integer(text: str) -> int:
-    """A number in plain digits: `int` alone takes signs, spaces, `_` and the digits of other scripts."""
+    """Parse ASCII digits; `int` alone would accept signs, spaces, `_` and the digits of other scripts."""
     if not (text.isascii() and text.isdigit()):
-        raise ValueError("not a whole number")
+        raise ValueError("not an integer")
     return int(text)
 
 
 def _optional_text(text: str | None) -> str | None:
     if not (text is None or (isinstance(text, str) and text)):
-        raise ValueError("not a mark")
+        raise ValueError("an optional field must be a non-empty string")
     return text
 
 
@@ -141,7 +144,7 @@
 
 
 def encode(message: ClientMessage) -> bytes:
-    """The octets of a message to a router."""
+    """Encode a message to a router."""
     if isinstance(message, ShutdownNotice):
         return _pack([NOTIFICATION, SHUTDOWN_METHOD, []])
     fields = {} if message.backpressure is None else {"pressure": f"{message.backpressure:g}"}
--- a/thymeyoke/server/socket_reader.py
+++ b/thymeyoke/server/socket_reader.py
@@ -1,4 +1,4 @@
-"""Reading a connection's socket without hiding what was read."""
+"""A socket reader that can tell whether it holds unprocessed data."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 
 class SocketReader:
-    """Reads a socket as bytes come, one chunk ahead of the task that takes them.
+    """Reads a socket as data arrives, at most one chunk ahead of the task that takes it.
 
-    The event loop watches the socket for as long as it is read: `anyio.wait_readable` registers it anew for
-    each read, at the cost of two system calls. A chunk that waits to be taken is seen by `is_empty`; behind
-    it nothing more is read, so that a task which is blocked blocks its own client alone.
+    The socket stays registered with the event loop; `anyio.wait_readable` would register it again for each
+    read, at the cost of two system calls. `is_empty` tells whether a chunk is waiting. Nothing more is read
+    while one is, so that a blocked task slows down only its own client.
     """
 
     def __init__(self, source: socket.socket) -> None:
-        """Watch the socket from the first `take` on."""
+        """Create a reader; the socket is watched from the first `take` on."""
         self.socket = source
         self.chunk: bytes | OSError | None = None  # read and not yet taken
         self.arrived = anyio.Event()
@@ -31,7 +31,7 @@
         return self.chunk is None
 
     async def take(self) -> bytes:
-        """The next chunk, empty at the end of the client's sending half. OSError: the connection is lost."""
+        """Return the next chunk, or b"" at end of file; raises `OSError` if the connection is lost."""
         while self.chunk is None:
             self.arrived = anyio.Event()
             self._watch()
@@ -42,7 +42,7 @@
         return chunk
 
     def stop(self) -> None:
-        """Read no more. To be called before the socket is closed."""
+        """Stop watching the socket; call this before closing it."""
         if self.is_watched:
             self.is_watched = False
             asyncio.get_running_loop().remove_reader(self.socket)
@@ -64,5 +64,5 @@
         except OSError as error:
             self.chunk = error
         if not isinstance(self.chunk, bytes) or not self.chunk:
-            self.stop()  # an end stays readable
+            self.stop()  # a socket at its end or in error stays readable
         self.arrived.set()
--- a/thymeyoke/server/unacknowledged.py
+++ b/thymeyoke/server/unacknowledged.py
@@ -1,4 +1,4 @@
-"""Which commands may not have reached the processor. Pure."""
+"""Keeps track of commands that may not have reached the processor, without I/O."""
 
 from __future__ import annotations
 
@@ -16,49 +16,49 @@
 )
 from thymeyoke.server.processor_wire import RequestSync
 
-MAX_COMMANDS = 4096  # commands and readings of gauges; older ones count as read
-POSSIBLY_LOST_SECONDS = 0.3  # commands of the last 50 ms may be lost with a link, which is noticed this late
+MAX_COMMANDS = 4096  # older commands count as received
+POSSIBLY_LOST_SECONDS = 0.3  # a link may lose commands of its last 50 ms, and its loss is noticed late
 
 
 class SentCommand(NamedTuple):
-    """A command that changes a run, by its request's id; None: a reading of the gauges."""
+    """A command that was written to the link."""
 
     at: float
-    id: str | None
+    id: str | None  # of the request; None for a reading of the gauges
 
 
 class UnacknowledgedCommands:
-    """Commands that are not proven to have been read.
+    """Commands that the processor has not acknowledged.
 
-    The processor reads in order and answers each reading of the gauges, so an answer proves all that was
-    written before it. What was written since may be lost with the link, and so may what was written just
-    before the loss, whatever was answered. That a command was handed to the link proves nothing.
+    The processor reads commands in order and answers each gauge reading, so an answer acknowledges all
+    commands written before it. Later commands may be lost with the link. So may those written within
+    `POSSIBLY_LOST_SECONDS` before its loss, even if acknowledged.
     """
 
     def __init__(self) -> None:
-        """Nothing was written yet."""
-        self.sent: deque[SentCommand] = deque(maxlen=MAX_COMMANDS)  # emptied by answers and losses
-        # Younger than POSSIBLY_LOST_SECONDS; emptied as they age.
+        """Create an empty record."""
+        self.sent: deque[SentCommand] = deque(maxlen=MAX_COMMANDS)
+        # Acknowledged within the last POSSIBLY_LOST_SECONDS.
         self.recently_acknowledged: deque[SentCommand] = deque(maxlen=MAX_COMMANDS)
-        self.possibly_lost: set[str] = set()  # ids of requests; emptied by `take_possibly_lost`
+        self.possibly_lost: set[str] = set()  # request ids; cleared by `take_possibly_lost`
 
     def add(self, now: float, command: Command | RequestSync) -> None:
-        """A command is about to be written: a part of it is lost like all of it."""
+        """Record a command just before it is written."""
         match command:
             case ReadGauges():
                 self.sent.append(SentCommand(now, None))
             case StartRun(id) | CallResult(id) | ResumeRun(id) | ContinueWithoutCall(id):
-                self.sent.append(SentCommand(now, id))  # stops go out again by themselves
+                self.sent.append(SentCommand(now, id))  # stops are always sent again on a new link
 
     def acknowledge(self, now: float) -> None:
-        """The oldest reading of the gauges was answered."""
+        """Handle the answer to the oldest gauge reading."""
         while self.sent and (oldest := self.sent.popleft()).id is not None:
             self.recently_acknowledged.append(oldest)
         while self.recently_acknowledged and self.recently_acknowledged[0].at < now - POSSIBLY_LOST_SECONDS:
             self.recently_acknowledged.popleft()
 
     def link_lost(self, now: float, unsent: Iterable[Command | RequestSync] = ()) -> None:
-        """The link is lost, with what it was still to write."""
+        """Handle the loss of the link and of the `unsent` commands that were queued for it."""
         for command in unsent:
             self.add(now, command)
         recent = [one for one in self.recently_acknowledged if one.at >= now - POSSIBLY_LOST_SECONDS]
@@ -67,6 +67,6 @@
         self.recently_acknowledged.clear()
 
     def take_possibly_lost(self) -> frozenset[str]:
-        """The requests whose commands may be lost, since the last time."""
+        """Take the ids of requests whose commands may be lost."""
         lost, self.possibly_lost = frozenset(self.possibly_lost), set()
         return lost
--- a/thymeyoke/simulator/__init__.py
+++ b/thymeyoke/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter between admission control and the simulator's wire."""
+"""Adapter between admission control and the simulator's protocol."""
--- a/thymeyoke/simulator/__main__.py
+++ b/thymeyoke/simulator/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m thymeyoke.simulator`: the simulator's wire on standard input and output, until input ends."""
+"""`python -m thymeyoke.simulator`: speaks the simulator's protocol on standard input and output."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def main() -> int:
-    """Exit 2 for input that cannot be read."""
+    """Serve until the input ends; returns the exit status, 2 for invalid input."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except InvalidInputError as error:
--- a/thymeyoke/simulator/adapter.py
+++ b/thymeyoke/simulator/adapter.py
@@ -1,4 +1,4 @@
-"""Instances of admission control on the simulator's wire: batches of events in, one reply a batch out."""
+"""Runs instances of admission control for the simulator: reads batches of events, replies to each batch."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 from thymeyoke.simulator import wire
 from thymeyoke.simulator.wire import Row
 
-MAX_QUOTED_LENGTH = 80  # of a line that an error shows
+MAX_QUOTED_LENGTH = 80  # characters of an input line in an error message
 
 
 class InvalidInputError(ThymeyokeError):
-    """The input cannot be read without guessing; the text names the line."""
+    """The input violates the protocol; the message names the line."""
 
 
 class SimulatorAdapter:
-    """The instances of this process. `instances` is emptied by `Teardown`."""
+    """All simulated app servers of this process. The event `Teardown` removes an instance."""
 
     def __init__(self) -> None:
         self.instances: dict[int, AdmissionController] = {}
 
     def handle_batch(self, now: float, rows: list[Row]) -> list[Row]:
-        """Report a batch of events to its instances, and collect their actions."""
+        """Pass a batch of events to its instances; returns their actions."""
         reply: list[Row] = []
         touched: dict[int, AdmissionController] = {}
         for row in rows:
@@ -53,7 +53,7 @@
         return reply
 
     def _address(self, row: Any) -> tuple[str, int]:
-        """The name of an event, and the instance that it is for."""
+        """The name of an event and the number of its instance."""
         name = row[0] if isinstance(row, list) and len(row) > 1 else None
         if name not in ("Launch", "Teardown") and name not in wire.EVENTS:
             raise InvalidInputError(f"unknown event {str(row)[:MAX_QUOTED_LENGTH]}")
@@ -64,7 +64,7 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer batches until the input ends."""
+    """Reply to batches until the input ends; raises `InvalidInputError`."""
     adapter, rows, now, sequence = SimulatorAdapter(), list[Row](), 0.0, None
     for line_number, line in enumerate(source, 1):
         try:
--- a/thymeyoke/simulator/wire.py
+++ b/thymeyoke/simulator/wire.py
@@ -1,6 +1,6 @@
-"""The simulator's wire: names and units of its events and actions, to and from those of admission control.
+"""Codec of the simulator's protocol: converts its events and actions to and from those of admission control.
 
-Nothing is decided here. Times on the wire are whole microseconds.
+Times on the wire are integers in microseconds.
 """
 
 from __future__ import annotations
@@ -24,20 +24,20 @@
     "undone": Outcome.STOPPED,
     "stale_send": Outcome.NOT_STARTED,
 }
-HAS_WORK_HINT, IS_RETRY, IS_WRITE = 1, 2, 4  # the bits of a request's `state_bits`
+HAS_WORK_HINT, IS_RETRY, IS_WRITE = 1, 2, 4  # bits of a request's `state_bits`
 ORDER_LENGTH = 14  # name, instance and twelve values
-ROUNDING_MICROSECONDS = 1e-3  # a sum of floats may be this much above a whole number
+ROUNDING_MICROSECONDS = 1e-3  # tolerance: sums of floats may slightly exceed an integer
 
 Row = list[Any]
 
 
 def to_microseconds(seconds: float) -> int:
-    """Whole microseconds, rounded up."""
+    """Convert seconds to microseconds, rounded up."""
     return ceil(seconds * 1e6 - ROUNDING_MICROSECONDS)
 
 
 def decode_request(row: Row) -> Request:
-    """An `Order` line; values that are missing at its end are absent."""
+    """Decode an `Order` line; values missing at its end count as null."""
     if len(row) < ORDER_LENGTH:
         row = row + [None] * (ORDER_LENGTH - len(row))
     _, _, id, lane, realm, size, subject, bits, original, hint, precedence, time_left, sender, unread = row[
@@ -62,12 +62,12 @@
 
 
 def apply_event(controller: AdmissionController, now: float, row: Row) -> None:
-    """Report one event line to the instance that it is for."""
+    """Report one event line to its instance's controller."""
     EVENTS[row[0]](controller, now, row)
 
 
 def encode_action(instance: int, action: actions.Action) -> Row:
-    """The line of an action."""
+    """Encode an action as a line of the protocol."""
     return ACTIONS[type(action)](instance, action)
 
 
--- a/thymeyoke/slow_start/__init__.py
+++ b/thymeyoke/slow_start/__init__.py
@@ -1,1 +1,4 @@
-"""When a starting server reports, connects and calls; one retry budget a process. docs/slow_start.md."""
+"""Slow start of an app server: limits its reports, dependency calls and retries, as many may start at once.
+
+docs/slow_start.md has the states and rules as tables.
+"""
--- a/thymeyoke/slow_start/connector.py
+++ b/thymeyoke/slow_start/connector.py
@@ -1,9 +1,9 @@
-"""When to reconnect to the processor, and whether its start is slow or has failed. Pure.
+"""Backoff of connection attempts to the processor, and the status of the processor's start. Pure.
 
-The processor may come up long after the app server: then it accepts the connection and its ready message
-comes later. Such a start is slow, and the connection is kept. A start whose connection is refused for long,
-or closed each time before the ready message, has failed: it is still retried, at the longest pause and
-without taking from the retry budget.
+The processor may become ready long after the app server: it then accepts the connection, but sends its ready
+message later. Such a start is slow, and the connection is kept. A start has failed if connections are refused
+for a long time, or always closed before the ready message. Attempts then continue at the longest backoff,
+without using the retry budget.
 """
 
 from __future__ import annotations
@@ -14,31 +14,31 @@
 from thymeyoke.slow_start.retry_budget import RetryBudget
 
 FIRST_BACKOFF_SECONDS = 0.02
-MAX_BACKOFF_SECONDS = 0.5  # a pause of this length needs no budget
-MAX_DOUBLINGS = 16  # of a pause: keeps the power within a float
-START_TIMEOUT_SECONDS = 10.0  # without a connection or a ready message: the start has failed
+MAX_BACKOFF_SECONDS = 0.5  # attempts at this backoff need no retry budget
+MAX_DOUBLINGS = 16  # of the backoff: bounds the exponent
+START_TIMEOUT_SECONDS = 10.0  # without a ready message, after which the start is slow or has failed
 
 
 class ConnectorStatus(Enum):
-    """How far the processor's start has come."""
+    """Status of the processor's start."""
 
     CONNECTING = "connecting"  # within the start timeout
-    SLOW = "slow"  # connected, without a ready message
+    SLOW = "slow"  # connected, but no ready message within the start timeout
     READY = "ready"
-    FAILED = "failed"
+    FAILED = "failed"  # not connected within the start timeout
 
 
 class Connector:
-    """The attempts of one process to reach its processor."""
+    """Tracks the attempts of one process to connect to its processor."""
 
     def __init__(self, now: float, rng: Random, budget: RetryBudget) -> None:
         self.rng, self.budget = rng, budget
-        self.failures = 0  # in a row, until a ready message
+        self.failures = 0  # consecutive ones since the last ready message
         self.is_connected = self.is_ready = False
-        self.ready_at = now  # when it was ready last, or this object was made
+        self.ready_at = now  # when the processor was last ready, or this object was created
 
     def status(self, now: float) -> ConnectorStatus:
-        """How far the processor's start has come."""
+        """The status of the processor's start."""
         if self.is_ready:
             return ConnectorStatus.READY
         if now < self.ready_at + START_TIMEOUT_SECONDS:
@@ -55,23 +55,23 @@
         self.failures, self.ready_at = 0, now
 
     def connect_failed(self, now: float) -> float:
-        """Note that a connect failed; returns the seconds until the next one."""
+        """Note that a connection attempt failed; returns the seconds until the next one."""
         self.failures += 1
-        return self._pause(now)
+        return self._backoff(now)
 
     def connection_lost(self, now: float) -> float:
-        """Note that the connection ended; returns the seconds until the next connect.
+        """Note that the connection was closed; returns the seconds until the next attempt.
 
-        After a ready message that connect is a first attempt, and needs no budget.
+        After a ready message the next attempt is a first attempt, which needs no retry budget.
         """
         if self.is_ready:
             self.ready_at = now
         else:
             self.failures += 1
         self.is_connected = self.is_ready = False
-        return self._pause(now)
+        return self._backoff(now)
 
-    def _pause(self, now: float) -> float:
+    def _backoff(self, now: float) -> float:
         if not self.failures:
             return FIRST_BACKOFF_SECONDS
         longest = min(MAX_BACKOFF_SECONDS, FIRST_BACKOFF_SECONDS * 2.0 ** min(self.failures, MAX_DOUBLINGS))
--- a/thymeyoke/slow_start/controller.py
+++ b/thymeyoke/slow_start/controller.py
@@ -1,7 +1,7 @@
-"""The slow start of one process: its state, and what follows for heartbeats, dependency calls and retries.
+"""The startup state of one process, and its effects on heartbeats, dependency calls and retries.
 
-Pure: it receives events with their time and returns times and permissions. `EndpointRegistry`, `Dependency`
-and `Processor` in `thymeyoke.server` do the I/O. docs/slow_start.md has the states and rules as tables.
+Pure: it receives events with their time and returns times and permissions. The clients of the endpoint
+registry, the dependency and the processor in `thymeyoke.server` do the I/O.
 """
 
 from __future__ import annotations
@@ -21,28 +21,28 @@
 from thymeyoke.slow_start.rate_limiter import CallRateLimiter, RateLimits
 from thymeyoke.slow_start.retry_budget import RetryBudget
 
-STALL_SECONDS = INTERVAL_SECONDS / 4  # a timer that is later than this: the process was stopped
-RETRIES_PER_CALL = 4  # for each call that can be in flight: the size of the budget
+STALL_SECONDS = INTERVAL_SECONDS / 4  # a timer later than this shows that the process was suspended
+RETRIES_PER_CALL = 4  # size of the retry budget for each call that can be in flight
 
 
 class State(Enum):
-    """How far the start of a process has come."""
+    """Progress of the start of a process."""
 
     STARTING = "starting"  # no report has been sent
-    REPORTING = "reporting"  # reports are sent, but the registry has no live entry of this process
-    WARMING = "warming"  # listed; the dependency is not proven healthy yet, or had faults
-    WARM = "warm"
+    REPORTING = "reporting"  # reports are sent, but the registry has no live entry for this process
+    WARMING = "warming"  # listed; the dependency is not proven healthy yet, or had faults since
+    WARM = "warm"  # listed, and the dependency is healthy
 
 
 class Event(Enum):
-    """What changes the state."""
+    """Events that change the state."""
 
     REPORT_SENT = "report_sent"
     LISTED = "listed"  # a report was accepted
     UNLISTED = "unlisted"  # no report was accepted within the TTL of an entry
     RATE_CUT = "rate_cut"  # the rate of dependency calls was cut
-    DEPENDENCY_HEALTHY = "dependency_healthy"  # no rate limit, and no faults for a while
-    STALLED = "stalled"  # this process stood still for longer than the TTL of an entry
+    DEPENDENCY_HEALTHY = "dependency_healthy"  # the rate limiter is open, without recent faults
+    STALLED = "stalled"  # this process was suspended for longer than the TTL of an entry
 
 
 TRANSITIONS = {
@@ -55,19 +55,19 @@
     (State.WARM, Event.UNLISTED): State.REPORTING,
     (State.WARM, Event.RATE_CUT): State.WARMING,
     (State.WARM, Event.STALLED): State.STARTING,
-}  # any other event leaves the state as it is
+}  # other events do not change the state
 
 
 class StartupController:
-    """The state of one process's start, with the parts that decide on reports, calls and retries."""
+    """The startup state of one process, and the components that control its reports, calls and retries."""
 
     def __init__(
         self, now: float, seed: int | str = 0, name: str = "", limits: RateLimits | None = None,
         started_at: float | None = None,
     ) -> None:  # fmt: skip
-        """`seed` and `name` seed the random numbers: the name tells processes with one seed apart.
+        """`seed` and `name` seed the random numbers; the name distinguishes processes with the same seed.
 
-        `started_at` is when the process was started, if known.
+        `started_at` is the start time of the process, if known.
         """
         limits = limits or RateLimits()
         self.state, self.started_at = State.STARTING, started_at
@@ -95,19 +95,19 @@
     # Reports.
 
     def begin(self, now: float, processor_time: float) -> None:
-        """Note that the process can report, after so many seconds of processor time."""
+        """Note that the process can send reports; it has used `processor_time` seconds of processor time."""
         lifetime = 0.0 if self.started_at is None else now - self.started_at
         self.heartbeat.begin(now, lifetime, processor_time)
 
     def should_report(self, now: float) -> bool:
-        """Whether a report goes out now."""
+        """Whether a report should be sent now."""
         lateness = self.heartbeat.lateness(now)
         if lateness > STALL_SECONDS and not self.heartbeat.missed:
             self.stalled(now, lateness)
         return self.heartbeat.should_send(now)
 
     def report_sent(self, now: float) -> float:
-        """Note that a report goes out; returns when it times out."""
+        """Note that a report is sent; returns the time when it times out."""
         self.handle(Event.REPORT_SENT)
         return self.heartbeat.sent(now)
 
@@ -119,7 +119,7 @@
             self.handle(Event.DEPENDENCY_HEALTHY)
 
     def report_failed(self, now: float) -> None:
-        """Note that a report was refused, failed or timed out."""
+        """Note that a report was rejected, failed or timed out."""
         self.heartbeat.failed(now)
         if not self.heartbeat.is_listed(now):
             self.handle(Event.UNLISTED)
@@ -127,11 +127,11 @@
     # Dependency calls.
 
     def may_call(self, now: float, id: str) -> bool:
-        """Whether the retry budget lets this call go out: a first attempt always may."""
+        """Whether the retry budget admits this call; first attempts are always admitted."""
         return id not in self.failed_calls or self.budget.take(now)
 
     def call_ended(self, now: float, id: str, outcome: Outcome, took: float) -> None:
-        """Note the outcome of a call, which took so many seconds."""
+        """Note the outcome of a call that took `took` seconds."""
         if outcome is Outcome.OK:
             self.budget.record_success()
             self.failed_calls.remove(id)
@@ -141,9 +141,9 @@
             self.handle(Event.RATE_CUT)
 
     def tick(self, now: float, oldest_wait: float) -> None:
-        """Run the periodic work.
+        """Do the periodic work.
 
-        `oldest_wait` is how long the oldest first attempt has waited for a token.
+        `oldest_wait`: seconds for which the oldest first attempt has waited for a token.
         """
         self.rate_limiter.tick(now, oldest_wait)
         self.failed_calls.expire(now)
@@ -151,9 +151,10 @@
     # Stalls.
 
     def stalled(self, now: float, lateness: float) -> None:
-        """Note that a timer was late by so many seconds.
+        """Note that a timer was late by `lateness` seconds.
 
-        Several late timers of one stall count once; a process that is always late is slow, not stalled.
+        Several late timers of one stall count once. A process whose timers are always late is slow, not
+        stalled.
         """
         min_gap = ENTRY_TTL_SECONDS if lateness < ENTRY_TTL_SECONDS else STALL_SECONDS
         if lateness <= STALL_SECONDS or now < self.stalled_at + min_gap:
--- a/thymeyoke/slow_start/heartbeat.py
+++ b/thymeyoke/slow_start/heartbeat.py
@@ -1,8 +1,8 @@
-"""When reports to the endpoint registry go out. Pure: moments in, moments out.
+"""The schedule of reports (heartbeats) to the endpoint registry. Pure: times in, times out.
 
-The heartbeats of a process lie on a grid of its own: its phase is drawn once, a heartbeat is counted from the
-one before it and not from when that went out, and what was missed is left out. So the heartbeats of many
-processes that were stopped, or found the registry gone, at the same moment never fall together.
+Each process sends its heartbeats on its own time grid: its phase is random, each heartbeat is scheduled from
+the scheduled time of the previous one, and missed heartbeats are skipped. This keeps the heartbeats of many
+processes apart even if all were suspended, or lost the registry, at the same time.
 """
 
 from __future__ import annotations
@@ -11,75 +11,76 @@
 
 from thymeyoke.slow_start.retry_budget import RetryBudget
 
-INTERVAL_SECONDS = 0.9  # between reports when all is healthy
-REPORT_TIMEOUT_SECONDS = 0.9  # a report that is not answered by then is given up
-ENTRY_TTL_SECONDS = 3.0  # that a report keeps an entry alive
-LATENESS_TOLERANCE = 1 / 12  # of the interval: a heartbeat that is later than this was missed
-# Of the interval. Stretched, two heartbeats that are not yet missed and half a timeout still fit into the
-# TTL: one may fail.
+INTERVAL_SECONDS = 0.9  # between reports while all is healthy
+REPORT_TIMEOUT_SECONDS = 0.9  # for the registry's answer to a report
+ENTRY_TTL_SECONDS = 3.0  # for which an accepted report keeps the entry in the registry
+LATENESS_TOLERANCE = 1 / 12  # of the interval: a later heartbeat counts as missed
+# Multiple of the interval. Two heartbeats at this stretch, each within the tolerance, and half a timeout
+# still fit into the TTL, so that one report may fail.
 MAX_STRETCH = (
     ENTRY_TTL_SECONDS / INTERVAL_SECONDS - REPORT_TIMEOUT_SECONDS / INTERVAL_SECONDS / 2
 ) / 2 - LATENESS_TOLERANCE
-STRETCH_FACTOR = 1.25  # by which the stretch grows with a fault
-STRETCH_DECREASE = 0.1  # by which it shrinks with an answer
-SLOW_ANSWER_SHARE = 0.5  # of the timeout: an answer that takes longer stretches the interval
-FIRST_GAP_INTERVALS = 2 / 3  # between the first report and the second, at least; an interval more at most
-CROWDED_START_FACTOR = 4.0  # a start that took this many times its processor time shares it with many others
-STALLED_START_INTERVALS = 0.5  # in addition
+STRETCH_FACTOR = 1.25  # growth of the stretch with each fault
+STRETCH_DECREASE = 0.1  # decrease of the stretch with each answer in time
+SLOW_ANSWER_SHARE = 0.5  # of the timeout: a slower answer stretches the interval
+FIRST_GAP_INTERVALS = 2 / 3  # least gap between the first and the second report; the phase is added
+# The first report is spread if the start took longer than this multiple of its processor time, plus some
+# intervals: many processes then presumably started, or were suspended, together.
+CONTENDED_START_FACTOR = 4.0
+STALLED_START_INTERVALS = 0.5
 
 
 class Heartbeat:
-    """The reports of one process.
+    """Schedules the reports of one process.
 
-    `wake_at` is when to look again; `should_send` then says whether a report goes out, `sent` that it did.
+    At `next_check_at` the owner asks `should_send` whether to send a report, and calls `sent` when it does.
     """
 
     def __init__(
         self, now: float, rng: Random, budget: RetryBudget, interval: float = INTERVAL_SECONDS,
         timeout: float = REPORT_TIMEOUT_SECONDS,
     ) -> None:  # fmt: skip
-        """`interval` and `timeout` in seconds."""
+        """`interval` between reports and `timeout` of a report, in seconds."""
         self.rng, self.budget, self.interval, self.timeout = rng, budget, interval, timeout
         self.phase = rng.random()
         self.next_at, self.retry_at = now, float("inf")
         self.stretch = 1.0
-        self.last_sent_at = self.last_answered_at = float("-inf")  # the second: of a report that was answered
-        self.first_gap = FIRST_GAP_INTERVALS + self.phase  # intervals from the first report to the second
+        # When the last report was sent, and when the last accepted report was sent.
+        self.last_sent_at = self.last_answered_at = float("-inf")
+        self.first_gap = FIRST_GAP_INTERVALS + self.phase  # intervals between first and second report
         self.has_begun = False
-        self.missed = False  # the last heartbeat was left out
-        self.has_retried = False  # since the last heartbeat a retry went out, or is due
+        self.missed = False  # the last heartbeat was skipped
+        self.has_retried = False  # a retry was sent, or is scheduled, since the last heartbeat
 
     def begin(self, now: float, lifetime: float, processor_time: float) -> None:
-        """Note that the process can report, after so many seconds of its life and of processor time.
+        """Note that the process can send reports.
 
-        Where the first is much more, it was stopped or started among many others, which may report at this
-        moment too: the first report is spread. Else it goes out at once.
+        If its `lifetime` is much longer than its `processor_time` (both in seconds), it was suspended or
+        started together with many others, which may report at the same time: then the first report is
+        delayed by a random time. Otherwise it is due at once.
         """
         if self.has_begun:
             return
         self.next_at = now
-        waited = lifetime - CROWDED_START_FACTOR * processor_time
+        waited = lifetime - CONTENDED_START_FACTOR * processor_time
         if waited > STALLED_START_INTERVALS * self.interval:
             self._spread_first(now)
 
     def _spread_first(self, now: float) -> None:
-        """The first report at this process's own place in the interval that begins now.
-
-        The grid follows it.
-        """
+        """Schedule the first report at this process's phase within the next interval."""
         self.next_at, self.first_gap = now + self.phase * self.interval, 1.0
 
     def _next_gap(self) -> float:
-        """Seconds to the next heartbeat; drawn while stretched, so that processes in step come apart."""
+        """Seconds to the next heartbeat; random while stretched, so that processes in lockstep separate."""
         return self.interval * (self.rng.uniform(1.0, self.stretch) if self.stretch > 1 else 1.0)
 
     @property
-    def wake_at(self) -> float:
-        """When to look again."""
+    def next_check_at(self) -> float:
+        """When to call `should_send` next."""
         return min(self.next_at, self.retry_at)
 
     def is_listed(self, now: float) -> bool:
-        """Whether the last answered report still keeps the entry alive."""
+        """Whether the last accepted report still keeps this process's entry in the registry."""
         return now < self.last_answered_at + ENTRY_TTL_SECONDS
 
     def lateness(self, now: float) -> float:
@@ -87,17 +88,18 @@
         return max(0.0, now - self.next_at)
 
     def send_now(self, now: float) -> None:
-        """A report out of turn: there is something new to report, or a new registry."""
+        """Schedule an extra report now, as the report's content or the registry has changed."""
         self.retry_at = now
 
     def should_send(self, now: float) -> bool:
-        """Whether a report goes out now.
+        """Whether a report should be sent now.
 
-        A heartbeat that is late was delayed, as those of many may have been: it is skipped, and the next
-        one is due at its own place. Never two in a row: who is late every time is slow, and reports when it
-        can. Nor after a report that was not answered, while the entry lives: it would lapse.
+        A late heartbeat is skipped, as those of many processes may have been delayed together, and the next
+        one follows on the time grid. Two in a row are not skipped: a process that is always late is slow, and
+        reports when it can. After a report without an answer, none is skipped while the entry is alive, as
+        the entry would expire.
         """
-        if now < self.wake_at:
+        if now < self.next_check_at:
             return False
         if now > self.retry_at + LATENESS_TOLERANCE * self.interval:
             self.retry_at = float("inf")
@@ -114,7 +116,7 @@
         return False
 
     def sent(self, now: float) -> float:
-        """A report goes out; the moment at which it is given up, so that it delays none."""
+        """Note that a report is sent; returns when to give it up, so that it does not delay the next one."""
         self.retry_at, self.last_sent_at = float("inf"), now
         if not self.has_begun:
             self.has_begun, self.next_at = True, now + self.first_gap * self.interval
@@ -126,7 +128,7 @@
         return min(now + self.timeout, self.next_at)
 
     def answered(self, now: float) -> None:
-        """The registry accepted the report."""
+        """Note that the registry accepted the report."""
         took = now - self.last_sent_at
         self.last_answered_at = self.last_sent_at
         if took > SLOW_ANSWER_SHARE * self.timeout:
@@ -136,15 +138,18 @@
         self.budget.record_success()
 
     def failed(self, now: float) -> None:
-        """The report was not sent, not answered, or not accepted.
+        """Note that the report was not sent, not answered or not accepted.
 
-        While the entry lives the heartbeats go on, of which three fit; stretched, they may not, and there is
-        one retry. Without an entry there is nothing to lose, and the registry is spared.
+        While the entry is alive the next heartbeat usually renews it, as three intervals fit into the TTL. If
+        the stretched interval is too long for that, one retry is scheduled. Without a live entry there is no
+        retry, which spares the registry.
         """
         if not self.is_listed(now):
             self.stretch = min(MAX_STRETCH, self.stretch * STRETCH_FACTOR)
-        lapse, need = self.last_answered_at + ENTRY_TTL_SECONDS, self.timeout / 4  # the second: for an answer
-        longest = min(self.next_at - now - 2 * need, lapse - now - need)
-        may_retry = self.next_at + need > lapse and longest > need and not self.has_retried
+        expires_at, answer_time = self.last_answered_at + ENTRY_TTL_SECONDS, self.timeout / 4
+        max_delay = min(self.next_at - now - 2 * answer_time, expires_at - now - answer_time)
+        may_retry = (
+            self.next_at + answer_time > expires_at and max_delay > answer_time and not self.has_retried
+        )
         if may_retry and self.budget.take(now):
-            self.retry_at, self.has_retried = now + self.rng.uniform(0.0, longest), True  # full jitter
+            self.retry_at, self.has_retried = now + self.rng.uniform(0.0, max_delay), True  # full jitter
