--- a/benchmarks/migration.py
+++ b/benchmarks/migration.py
@@ -1,9 +1,9 @@
-"""What a plan of moves takes and leaves: greedy, the search, and solvers where they are installed; and nodes
-over simulated hours with and without moves. `python -m benchmarks.migration`.
+"""Migration plans: greedy, the search, and solvers if installed; and nodes over simulated hours with and
+without moves. `python -m benchmarks.migration`.
 
-One table, and JSON lines with `--json`. Fleets are drawn by seed; times are this machine's, so quote the
-ratios. Solvers (`ortools`, `highspy`) are not among the program's libraries: they are measured where they can
-be imported.
+Prints a table, or JSON lines with `--json`. Fleets depend on the seed; times depend on the machine, so
+compare the ratios. Solvers (`ortools`, `highspy`) are not dependencies of the program and are measured only
+if they can be imported.
 """
 
 from __future__ import annotations
@@ -20,8 +20,8 @@
 from benchmarks import show
 from thymeyoke.membership.view import Load, Member, Snapshot, State, Trust, View
 from thymeyoke.migration import load_ranges, planner, wire
-from thymeyoke.migration.controller import Mover, Terms
-from thymeyoke.migration.planner import Allowed, Found, Problem
+from thymeyoke.migration.controller import MigrationCoordinator, Terms
+from thymeyoke.migration.planner import MoveConstraints, PackingProblem, Solution
 
 SIZES = (  # nodes, tenants, `uneven`
     (8, 100, 1.25),
@@ -40,7 +40,7 @@
 
 
 def drawn(seed: int, nodes: int, tenants: int, room: int = ROOM) -> View:
-    """Tenants by Zipf's law; nodes of unlike size, as they become when nobody looks after them."""
+    """Tenants by Zipf's law on nodes of different sizes."""
     rng = Random(seed)
     ranks = list(range(1, tenants + 1))
     rng.shuffle(ranks)
@@ -65,22 +65,22 @@
     return Snapshot(name=name, **told)
 
 
-def allowed(view: View) -> Allowed:
+def allowed(view: View) -> MoveConstraints:
     every = frozenset(one.tenant for member in view.nodes() for one in member.snapshot.loads)
-    bits = wire.Can(wire.Can.of(every).bits)
-    return Allowed({one.name: bits for one in view.nodes()})
+    bits = wire.TenantFilter(wire.TenantFilter.build(every).bits)
+    return MoveConstraints({one.name: bits for one in view.nodes()})
 
 
-def greedy(given: Problem) -> Found:
+def greedy(given: PackingProblem) -> Solution:
     return planner.greedy(given)
 
 
-def search(given: Problem) -> Found:
-    return planner.fewest(given)[0]
+def search(given: PackingProblem) -> Solution:
+    return planner.fewest_moves(given)[0]
 
 
-def cp_sat(given: Problem) -> Found:
-    """The same as a model of CP-SAT: least left over the bounds, then fewest moves."""
+def cp_sat(given: PackingProblem) -> Solution:
+    """The same as a CP-SAT model: minimal excess, then fewest moves."""
     from ortools.sat.python import cp_model
 
     model = cp_model.CpModel()
@@ -112,8 +112,8 @@
     return chosen, sum(solver.value(one) for one in slacks) / ROUND
 
 
-def highs(given: Problem) -> Found:
-    """The same as a mixed-integer program of HiGHS."""
+def highs(given: PackingProblem) -> Solution:
+    """The same as a mixed-integer program for HiGHS."""
     import highspy
 
     model = highspy.Highs()
@@ -143,7 +143,7 @@
     return chosen, sum(found[slack.index] for slack in left)
 
 
-WAYS: dict[str, tuple[str, Callable[[Problem], Found]]] = {
+WAYS: dict[str, tuple[str, Callable[[PackingProblem], Solution]]] = {
     "greedy": ("", greedy),
     "search": ("", search),
     "CP-SAT": ("ortools", cp_sat),
@@ -152,7 +152,7 @@
 
 
 def spent(what: Callable[[], Any], times: int = 5) -> float:
-    """Milliseconds, the least of several."""
+    """Milliseconds, the minimum of several runs."""
     found = []
     for _ in range(times):
         began = time.perf_counter()
@@ -173,12 +173,15 @@
         before = []
         for seed in range(SEEDS):
             view = drawn(seed, nodes, tenants)
-            read = load_ranges.read(view, terms)
-            problems.append((read, planner.problem(read, allowed(view), terms)))
-            before.append(planner.evenness(one.load.mid for one in read.nodes))
+            read = load_ranges.estimate_loads(view, terms)
+            problems.append((read, planner.build_problem(read, allowed(view), terms)))
+            before.append(planner.peak_to_mean(one.load.mid for one in read.nodes))
         rows.append(row(f"{where}: most loaded, before", statistics.mean(before), "mean"))
         rows.append(
-            row(f"{where}: moves, lower bound", statistics.mean(planner.least(one) for _, one in problems))
+            row(
+                f"{where}: moves, lower bound",
+                statistics.mean(planner.lower_bound(one) for _, one in problems),
+            )
         )
         base: list[tuple[int, float, float]] = []
         for name, (library, way) in WAYS.items():
@@ -205,16 +208,16 @@
             ]
 
 
-def after(read: load_ranges.Loads, given: Problem, chosen: list[planner.Choice]) -> float:
+def after(read: load_ranges.Loads, given: PackingProblem, chosen: list[planner.Choice]) -> float:
     held = {one.name: one.load.mid for one in read.nodes}
     for at, tenant, target in chosen:
         held[given.sources[at].name] -= tenant.load.mid
         held[target.name] += tenant.load.mid
-    return planner.evenness(held.values())
+    return planner.peak_to_mean(held.values())
 
 
 def whole(rows: list[dict[str, Any]]) -> None:
-    """From a view to a recommendation, at the largest size: read, what is allowed, plan."""
+    """From a view to a recommendation at the largest size: loads, constraints and plan."""
     nodes, tenants, _ = SIZES[-1]
     found = []
     for room in (ROOM, 300):
@@ -222,7 +225,12 @@
         for seed in range(SEEDS):
             view = drawn(seed, nodes, tenants, room)
             took.append(
-                spent(lambda view=view: planner.plan(load_ranges.read(view, TERMS), allowed(view), TERMS), 3)
+                spent(
+                    lambda view=view: planner.plan(
+                        load_ranges.estimate_loads(view, TERMS), allowed(view), TERMS
+                    ),
+                    3,
+                )
             )
         found.append(took)
     usual, full = statistics.median(found[0]), statistics.median(found[1])
@@ -235,8 +243,8 @@
 
 
 class Hours:
-    """Nodes with the real decisions, in simulated time. Tenants drift; customers follow the announcements
-    with a connection's life of 30 s."""
+    """Nodes with real coordinators in simulated time. Tenants drift; connections live for 30 s and follow the
+    announcements."""
 
     STEP, LIFE = 7.5, 30.0
 
@@ -247,7 +255,9 @@
         files = {one.name: frozenset(one.snapshot.holds) for one in view.nodes()}
         every = frozenset(self.wanted)
         terms = Terms(act=act)
-        self.movers = {name: Mover(0.0, name, terms, every, holds) for name, holds in files.items()}
+        self.coordinators = {
+            name: MigrationCoordinator(0.0, name, terms, every, holds) for name, holds in files.items()
+        }
         self.held = {
             one.name: {it.tenant: float(it.connections) for it in one.snapshot.loads} for one in view.nodes()
         }
@@ -259,35 +269,41 @@
         for tenant in self.wanted:
             self.wanted[tenant] *= self.rng.lognormvariate(0, 0.01)
         holders: dict[str, list[str]] = {}
-        for name, mover in self.movers.items():
-            for tenant in mover.holds:
+        for name, coordinator in self.coordinators.items():
+            for tenant in coordinator.holds:
                 holders.setdefault(tenant, []).append(name)
         part = self.STEP / self.LIFE
         for name, its in self.held.items():
-            for tenant in set(its) | self.movers[name].holds:
+            for tenant in set(its) | self.coordinators[name].holds:
                 mine = self.wanted[tenant] / len(holders[tenant]) if name in holders.get(tenant, ()) else 0.0
                 its[tenant] = its.get(tenant, 0.0) + (mine - its.get(tenant, 0.0)) * min(1.0, part)
                 if its[tenant] < 0.5 and not mine:
                     del its[tenant]
         self.sequence += 1
         members = {}
-        for name, mover in self.movers.items():
+        for name, coordinator in self.coordinators.items():
             told = [
                 Load(tenant, round(many), many / self.LIFE)
                 for tenant, many in sorted(self.held[name].items())
             ]
-            said = snapshot(name, told, sequence=self.sequence, holds=tuple(sorted(mover.holds)),
-                            parts={"moves": mover.part(self.now)})  # fmt: skip
+            said = snapshot(name, told, sequence=self.sequence, holds=tuple(sorted(coordinator.holds)),
+                            parts={"moves": coordinator.encoded_part(self.now)})  # fmt: skip
             members[name] = Member(said, Trust.SURE, 1.0, 1.0)
-        for name, mover in self.movers.items():
-            mover.saw(self.now, View(1, self.now, name, members))
-            mover.settle(self.now)
-        self.most = max(self.most, sum(record.state in ("begun", "settling") for mover in self.movers.values()
-                                       for record in mover._live()))  # fmt: skip
-        self.uneven.append(planner.evenness(sum(its.values()) for its in self.held.values()))
+        for name, coordinator in self.coordinators.items():
+            coordinator.observe(self.now, View(1, self.now, name, members))
+            coordinator.advance(self.now)
+        self.most = max(
+            self.most,
+            sum(
+                record.state in ("begun", "settling")
+                for coordinator in self.coordinators.values()
+                for record in coordinator._active_records()
+            ),
+        )
+        self.uneven.append(planner.peak_to_mean(sum(its.values()) for its in self.held.values()))
 
     def counted(self, name: str) -> int:
-        return sum(mover.counts[name] for mover in self.movers.values())
+        return sum(coordinator.counts[name] for coordinator in self.coordinators.values())
 
 
 def hours(rows: list[dict[str, Any]], nodes: int = 8, tenants: int = 100, many: float = 6.0) -> None:
--- a/fakes/simulated_migration.py
+++ b/fakes/simulated_migration.py
@@ -1,8 +1,10 @@
-"""Moves in simulated time: one `Mover` a node, views that differ and lag, tenants as streams of connections.
+"""Migration in simulated time: a `MigrationCoordinator` per node, delayed views, tenants as streams of
+connections.
 
-A tenant's connections are no customers here but a quantity: so many are opened a second, and each lives for
-a while. They come to the nodes that announce the tenant in full, else to those that do less preferred, else
-they are lost. `static` is the same stream with every tenant at its first node. Spans are seconds.
+A tenant's connections are a quantity, not individual clients: they are opened at a rate and live for a while.
+They go to the nodes that announce the tenant with full preference, otherwise to those with lower preference,
+otherwise they are lost. `static` is the same stream with every tenant at its first node. Times are in
+seconds.
 """
 
 from __future__ import annotations
@@ -13,7 +15,7 @@
 
 from fakes.simulated_fleet import DelayedView, Net, Process, World
 from thymeyoke.membership.view import Load, State
-from thymeyoke.migration.controller import Level, Mover, Terms
+from thymeyoke.migration.controller import Level, MigrationCoordinator, Terms
 from thymeyoke.migration.controller import State as Move
 
 STEP = 4.0  # between two steps of every node, and two snapshots
@@ -22,7 +24,7 @@
 
 
 class Carrier(Process):
-    """One life of one node."""
+    """One incarnation of a node."""
 
     def __init__(
         self,
@@ -35,7 +37,7 @@
     ) -> None:
         super().__init__(moving.world, name, True, incarnation, served)
         self.moving, self.room = moving, moving.table
-        self.mover = Mover(self.world.now, name, terms, moving.can, holds)
+        self.coordinator = MigrationCoordinator(self.world.now, name, terms, moving.can, holds)
         self.delayed_view = DelayedView(self.world, moving.net, self, STEP)
         self.held: dict[str, float] = dict.fromkeys(sorted(holds), 0.0)
         self.opened: dict[str, float] = {}
@@ -52,32 +54,35 @@
             for name, held in self.held.items() if held >= 0.5 or name in self.opened
         )  # fmt: skip
         return {
-            "connections": sum(one.connections for one in loads), "opened": sum(self.opened.values()),
-            "room": max(0, self.room - round(self.load)), "loads": loads,
-            "holds": tuple(sorted(self.mover.holds)), "parts": {"moves": self.mover.part(self.world.now)},
-        }  # fmt: skip
+            "connections": sum(one.connections for one in loads),
+            "opened": sum(self.opened.values()),
+            "room": max(0, self.room - round(self.load)),
+            "loads": loads,
+            "holds": tuple(sorted(self.coordinator.holds)),
+            "parts": {"moves": self.coordinator.encoded_part(self.world.now)},
+        }
 
     def publish(self) -> None:
         if not self.still:
             super().publish()
 
     def step(self) -> None:
-        """Look, decide, say."""
+        """Observe the view, advance, and publish a snapshot after changes."""
         now = self.world.now
-        self.mover.saw(now, self.delayed_view.current_view(self.moving.carriers.values()))
-        if self.mover.settle(now):
+        self.coordinator.observe(now, self.delayed_view.current_view(self.moving.carriers.values()))
+        if self.coordinator.advance(now):
             self.publish()
 
     def under_way(self) -> list[tuple[str, str]]:
-        """Own moves that have begun and are not over: tenant and target."""
+        """Own moves that have begun and are not over, as tenant and target."""
         return [
-            (one.step.tenant, one.step.target) for one in self.mover.records.values()
-            if one.ask is not None and one.state in (Move.BEGUN, Move.SETTLING)
+            (one.step.tenant, one.step.target) for one in self.coordinator.records.values()
+            if one.request is not None and one.state in (Move.BEGUN, Move.SETTLING)
         ]  # fmt: skip
 
 
 class Moving:
-    """All nodes and tenants. `skew`: of the tenants' sizes; `total`: connections opened a second."""
+    """All nodes and tenants. `skew`: of the tenants' sizes; `total`: connections opened per second."""
 
     def __init__(
         self, seed: int, nodes: int, tenants: int, terms: Terms, skew: float = 0.4, total: float = 0.0,
@@ -125,7 +130,7 @@
         one = self.carriers[name]
         one.alive = False
         one.held.clear()
-        self.ends.append(one.mover.counts)
+        self.ends.append(one.coordinator.counts)
         self.world.note(f"{name} dies")
 
     def run(self, until: float) -> None:
@@ -149,10 +154,10 @@
         full: dict[str, list[Carrier]] = {}
         less: dict[str, list[Carrier]] = {}
         for one in there:
-            for name, level in one.mover.told.items():
-                if level == Level.FULL:
+            for name, level in one.coordinator.announced_levels.items():
+                if level == Level.PREFERRED:
                     full.setdefault(name, []).append(one)
-                elif level == Level.LESS:
+                elif level == Level.DEPREFERRED:
                     less.setdefault(name, []).append(one)
         for name, rate in self.rates.items():
             came = rate * STEP * max(0.0, rng.gauss(1.0, 0.1))
@@ -171,7 +176,7 @@
         now = self.world.now
         there = [one for one in self.carriers.values() if one.alive]
         for one in there:
-            many = one.mover.counts["moves_begun"]
+            many = one.coordinator.counts["moves_begun"]
             self.begun += [now] * (many - one.begun)
             one.begun = many
         under_way = [move for one in there for move in one.under_way()]
@@ -188,11 +193,11 @@
         self.over, self.over_unmoved = (above(loads, self.terms.uneven) for loads in (moved, unmoved))
 
     def total(self, what: str) -> int:
-        there = [one.mover.counts for one in self.carriers.values() if one.alive]
+        there = [one.coordinator.counts for one in self.carriers.values() if one.alive]
         return sum(one[what] for one in (*self.ends, *there))
 
     def evenness(self, since: float, until: float) -> tuple[float, float]:
-        """The most loaded node over the mean, with moves and without, in the mean of a span."""
+        """The highest load relative to the mean, with and without moves, averaged over a time range."""
         span = slice(int(since / STEP), max(int(since / STEP) + 1, int(until / STEP)))
         moved, unmoved = self.moved[span], self.unmoved[span]
         return sum(moved) / len(moved), sum(unmoved) / len(unmoved)
@@ -204,5 +209,5 @@
 
 
 def above(loads: list[float], uneven: float) -> int:
-    """How many hold more than `uneven` times the mean."""
+    """The number of nodes that hold more than `uneven` times the mean."""
     return sum(one * len(loads) > uneven * sum(loads) for one in loads)
--- a/tests/characterization/test_codecs.py
+++ b/tests/characterization/test_codecs.py
@@ -449,7 +449,7 @@
         self.played(
             "codecs/migration",
             migration_wire,
-            {"pack": False, "read": True},
+            {"encode": False, "decode": True},
             lambda: moves("moves-heavy", size),
         )
 
--- a/tests/characterization/test_decisions.py
+++ b/tests/characterization/test_decisions.py
@@ -69,12 +69,12 @@
     "next_advance_at": "next",
 }
 MIGRATION = {
-    "change": "change",
-    "saw": "view",
-    "settle": "actions",
-    "next": "next",
-    "part": "part",
-    "shown": "shown",
+    "reconfigure": "change",
+    "observe": "view",
+    "advance": "actions",
+    "next_advance_at": "next",
+    "encoded_part": "part",
+    "recommendations": "shown",
 }
 CODES: dict[type, str | None] = {
     membership.Probe: "probe",
@@ -84,8 +84,8 @@
     affinity.Joined: "ready",
     affinity.HandedOver: "handover",
     affinity.LogEvent: None,
-    migration.Full: "preferred",
-    migration.Less: "depreferred",
+    migration.Preferred: "preferred",
+    migration.Depreferred: "depreferred",
     migration.Withdrawn: "withdrawn",
 }
 
@@ -127,7 +127,9 @@
         for play in ("moves-heavy", "moves-trouble"):
             with self.subTest(play):
                 self.recorded(
-                    f"migration/{play}", lambda play=play: moves(play, FEW), (migration.Mover, MIGRATION)
+                    f"migration/{play}",
+                    lambda play=play: moves(play, FEW),
+                    (migration.MigrationCoordinator, MIGRATION),
                 )
 
 
--- a/tests/fault_injection/defences.py
+++ b/tests/fault_injection/defences.py
@@ -164,30 +164,32 @@
         MOVES + "test_in_full_at_the_target_before_the_source_is_less",
         one(
             "migration/controller.py",
-            "    (State.PROPOSED, Event.CONSENT): State.BEGUN,\n",
-            "    (State.PROPOSED, Event.CONSENT): State.SETTLING,\n",
+            "    (State.PROPOSED, Event.QUORUM): State.BEGUN,\n",
+            "    (State.PROPOSED, Event.QUORUM): State.SETTLING,\n",
         ),
     ),
     Defence(
         "a tenant that comes counts as held once it is announced in full",
         MOVES + "test_in_full_at_the_target_before_the_source_is_less",
-        one("proxy/migration_adapter.py", "self.mover.holds - self.rising", "self.mover.holds"),
+        one("proxy/migration_adapter.py", "self.coordinator.holds - self.rising", "self.coordinator.holds"),
     ),
     Defence(
         "a target that is gone undoes the move",
         DEATHS + "test_the_target_fills_or_dies_in_each_state",
-        one("migration/controller.py", "    (State.SETTLING, Event.GONE): State.UNDONE,\n", ""),
+        one("migration/controller.py", "    (State.SETTLING, Event.TARGET_LOST): State.UNDONE,\n", ""),
     ),
     Defence(
         "a target that fills from elsewhere undoes the move",
         DEATHS + "test_the_target_fills_or_dies_in_each_state",
         (
             Change(
-                "thymeyoke/migration/controller.py", "    (State.BEGUN, Event.NO_ROOM): State.UNDONE,\n", ""
+                "thymeyoke/migration/controller.py",
+                "    (State.BEGUN, Event.TARGET_FULL): State.UNDONE,\n",
+                "",
             ),
             Change(
                 "thymeyoke/migration/controller.py",
-                "    (State.SETTLING, Event.NO_ROOM): State.UNDONE,\n",
+                "    (State.SETTLING, Event.TARGET_FULL): State.UNDONE,\n",
                 "",
             ),
         ),
@@ -197,7 +199,7 @@
         DEATHS + "test_the_target_fills_or_dies_in_each_state",
         one(
             "migration/controller.py",
-            "            if place.level != Level.WITHDRAWN or not place.gave_to:\n",
+            "            if tenant_state.level != Level.WITHDRAWN or not tenant_state.successor:\n",
             "            if True:\n",
         ),
     ),
@@ -206,7 +208,7 @@
         DEATHS + "test_the_source_dies_in_each_state_and_comes_back",
         one(
             "migration/controller.py",
-            "            gone = not self.holders.get(ask.tenant) and",
+            "            gone = not self.holders.get(request.tenant) and",
             "            gone = False and",
         ),
     ),
@@ -230,7 +232,7 @@
             ),
             Change(
                 "thymeyoke/migration/load_ranges.py",
-                "    if not member.weight >= LEAST_WEIGHT:",
+                "    if not member.weight >= MIN_WEIGHT:",
                 "    if not member.weight >= 0:",
             ),
             Change(
@@ -243,7 +245,11 @@
     Defence(
         "figures that can't be true are not reckoned with",
         RECOMMENDED + "test_what_no_move_can_mend",
-        one("migration/load_ranges.py", "    return unbelievable(member.snapshot)\n", '    return ""\n'),
+        one(
+            "migration/load_ranges.py",
+            "    return find_implausible_figure(member.snapshot)\n",
+            '    return ""\n',
+        ),
     ),
     Defence(
         "no target gets more than it has room for",
@@ -255,8 +261,8 @@
         RECOMMENDED + "test_what_no_move_can_mend",
         one(
             "migration/planner.py",
-            "    advice = _splits(loads, terms, given.bound)\n",
-            "    advice: list[Advice] = []\n",
+            "    advice = _split_advice(loads, terms, problem.bound)\n",
+            "    advice: list[CapacityAdvice] = []\n",
         ),
     ),
     Defence(
--- a/tests/test_migration.py
+++ b/tests/test_migration.py
@@ -1,5 +1,4 @@
-"""Moves: every row of docs/migration.md, the laws of plans, and every order of a small model on the real
-code."""
+"""Migration: the tables of docs/migration.md, properties of plans, a small model explored exhaustively."""
 
 from __future__ import annotations
 
@@ -23,9 +22,16 @@
 from thymeyoke.configuration import service_config
 from thymeyoke.membership.view import Load, Member, Snapshot, State, Trust, View
 from thymeyoke.migration import controller, load_ranges, planner, presentation, quorum, wire
-from thymeyoke.migration.controller import Event, Full, Less, Level, Mover, Withdrawn
+from thymeyoke.migration.controller import (
+    Depreferred,
+    Event,
+    Level,
+    MigrationCoordinator,
+    Preferred,
+    Withdrawn,
+)
 from thymeyoke.migration.load_ranges import Terms
-from thymeyoke.migration.planner import Allowed
+from thymeyoke.migration.planner import MoveConstraints
 
 PAGE = "docs/migration.md"
 TERMS = Terms(act="move", uneven=1.25, at_once=1, an_hour=12, rest=300.0, settle=60.0)
@@ -52,17 +58,17 @@
 
 
 def fleet(tenants: Tenants = FLEET, own: dict[str, Any] = {}, **other: Any) -> View:  # noqa: B006
-    """`own`: by node, what is otherwise in its snapshot."""
+    """A view of a fleet; `own`: other snapshot fields, by node."""
     return view(*(snapshot(name, its, **(other | own.get(name, {}))) for name, its in tenants.items()))
 
 
-def allowed(seen: View) -> Allowed:
+def allowed(seen: View) -> MoveConstraints:
     every = frozenset(load.tenant for one in seen.nodes() for load in one.snapshot.loads)
-    return Allowed({one.name: every for one in seen.nodes()})
+    return MoveConstraints({one.name: every for one in seen.nodes()})
 
 
 def planned(seen: View, terms: Terms = TERMS) -> planner.Plan:
-    return planner.plan(load_ranges.read(seen, terms), allowed(seen), terms)
+    return planner.plan(load_ranges.estimate_loads(seen, terms), allowed(seen), terms)
 
 
 def names(made: planner.Plan) -> list[tuple[str, str, str]]:
@@ -70,8 +76,8 @@
 
 
 class Sim:
-    """Nodes with the real code, and what each has heard of the others. Customers follow what is announced in
-    `flow` seconds."""
+    """Nodes with real coordinators, and the snapshots that each has received. Clients follow the
+    announcements within `flow` seconds."""
 
     def __init__(self, tenants: Tenants = FLEET, terms: Terms = TERMS, flow: float = 0.0) -> None:
         self.now, self.flow, self.terms = START, flow, terms
@@ -89,14 +95,18 @@
         self.out: list[tuple[str, controller.Action]] = []
         self.begun: list[tuple[Any, ...]] = []  # when, tenant, source, target
 
-    def made(self, name: str, now: float) -> Mover:
-        return Mover(now, name, self.terms, self.every, self.files[name])
+    def made(self, name: str, now: float) -> MigrationCoordinator:
+        return MigrationCoordinator(now, name, self.terms, self.every, self.files[name])
 
     def say(self, name: str) -> Snapshot:
         mover = self.movers[name]
         self.sequence += 1
-        given = {"incarnation": self.lives[name], "sequence": self.sequence,
-                 "holds": tuple(sorted(mover.holds)), "parts": {"moves": mover.part(self.now)}}  # fmt: skip
+        given = {
+            "incarnation": self.lives[name],
+            "sequence": self.sequence,
+            "holds": tuple(sorted(mover.holds)),
+            "parts": {"moves": mover.encoded_part(self.now)},
+        }
         tenants = {one: many for one, many in self.connections[name].items() if many}
         return snapshot(name, tenants, **(given | self.other[name]))
 
@@ -120,9 +130,9 @@
 
     def settle(self, name: str) -> list[controller.Action]:
         mover = self.movers[name]
-        mover.saw(self.now, self.view(name))
+        mover.observe(self.now, self.view(name))
         before = {id(one) for one in self.live(name)}
-        done = mover.settle(self.now)
+        done = mover.advance(self.now)
         self.begun += [(self.now, *one.key) for one in self.live(name) if id(one) not in before]
         self.out += [(name, one) for one in done]
         return done
@@ -156,11 +166,13 @@
             if what():
                 return
             self.round(step)
-        raise AssertionError(f"not within 600 s: {[one.shown(self.now) for one in self.movers.values()]}")
+        raise AssertionError(
+            f"not within 600 s: {[one.recommendations(self.now) for one in self.movers.values()]}"
+        )
 
-    def live(self, name: str) -> list[controller.Record]:
+    def live(self, name: str) -> list[controller.MigrationRecord]:
         under_way = (controller.State.BEGUN, controller.State.SETTLING)
-        return [one for one in self.movers[name]._live() if one.state in under_way]
+        return [one for one in self.movers[name]._active_records() if one.state in under_way]
 
     def find(self, who: str, of: str, trust: Trust = D) -> None:
         self.trust[who][of] = trust
@@ -182,10 +194,10 @@
             self.trust["a"]["c"] = U
 
     def off(self) -> None:
-        self.movers["a"].change(self.now, TERMS._replace(act="recommend"), self.every, self.files["a"])
+        self.movers["a"].reconfigure(self.now, TERMS._replace(act="recommend"), self.every, self.files["a"])
 
     def do(self, step: str) -> None:
-        """One step of a scene: `a hears b`, `kill a`."""
+        """Run one step of a scenario, such as `a hears b` or `kill a`."""
         words = step.split()
         verb = next((word for word in words if word in STEPS), step)
         words.remove(verb)
@@ -196,10 +208,10 @@
             self.do(step)
 
     def level(self, name: str, tenant: str = "t2") -> Level:
-        return self.movers[name].places[tenant].level
+        return self.movers[name].tenant_states[tenant].level
 
     def state(self, key: tuple[str, str, str] = MOVE) -> str:
-        found = [one.state for one in self.movers[key[1]].shown(self.now)
+        found = [one.state for one in self.movers[key[1]].recommendations(self.now)
                  if (one.tenant, one.source, one.target) == key]  # fmt: skip
         return str(found[0]) if found else ""
 
@@ -220,15 +232,15 @@
     "empty": lambda sim: sim.connections["a"].update(t2=0),
     "off": Sim.off,
     "unfile": lambda sim: sim.files.update(a=sim.files["a"] - {"t2"}),
-    "take": lambda sim, name: setattr(sim.movers[name].places["t2"], "level", Level.FULL),
-    "drop": lambda sim, name: setattr(sim.movers[name].places["t2"], "level", Level.WITHDRAWN),
+    "take": lambda sim, name: setattr(sim.movers[name].tenant_states["t2"], "level", Level.PREFERRED),
+    "drop": lambda sim, name: setattr(sim.movers[name].tenant_states["t2"], "level", Level.WITHDRAWN),
 }
 
 
-def asked(sim: Sim, step: float = 1.0) -> tuple[Sim, controller.Record]:
-    """Everything is as if a has just asked, and nobody has heard of it."""
-    sim.until(lambda: sim.movers["a"]._live(), step)
-    (record,) = sim.movers["a"]._live()
+def asked(sim: Sim, step: float = 1.0) -> tuple[Sim, controller.MigrationRecord]:
+    """A fleet in which node a has just made a request that nobody has received."""
+    sim.until(lambda: sim.movers["a"]._active_records(), step)
+    (record,) = sim.movers["a"]._active_records()
     return sim, record
 
 
@@ -238,8 +250,8 @@
 WAYS["kept"] = f"{WAYS['settling']}, empty, wait 0"
 
 
-def at(state: str) -> tuple[Sim, controller.Record]:
-    """A fleet where a's move of t2 to c is in a state, and nobody knows more than that needs."""
+def at(state: str) -> tuple[Sim, controller.MigrationRecord]:
+    """A fleet in which a's move of t2 to c is in the given state, with the minimum of messages exchanged."""
     sim, record = asked(Sim())
     sim.play(WAYS[state])
     assert record.state == state, (record.state, state, record.why)
@@ -248,9 +260,11 @@
 
 def scene(case: unittest.TestCase, text: str, sim: Sim | None = None, record: Any = None,
           tenant: str = "t2") -> Sim:  # fmt: skip
-    """`state: step, step, ...` or, with a fleet, its steps alone. Among them what then holds: levels of the
-    tenant at a, b and c (`F-?`: full, withdrawn, any), the state of a's move; `a full 9`: it is in each of so
-    many seconds; `c says`: it says that it holds the tenant."""
+    """Run a scenario: `state: step, step, ...`, or with a given fleet its steps alone.
+
+    Steps may also be checks: levels of the tenant at a, b and c (`F-?`: full, withdrawn, any), the state of
+    a's move, `a full 9` (in each of the next 9 seconds), `c says` (it announces that it holds the tenant).
+    """
     if sim is None:
         state, text = text.split(": ")
         sim, record = at(state)
@@ -265,7 +279,7 @@
             case [name, "full", seconds]:
                 for _ in range(int(seconds)):
                     sim.round()
-                    case.assertEqual(sim.level(name, tenant), Level.FULL, text)
+                    case.assertEqual(sim.level(name, tenant), Level.PREFERRED, text)
             case [name, "says"]:
                 case.assertIn(tenant, sim.seen["a"][name][0].holds)
             case _:
@@ -288,32 +302,32 @@
         sim.hear("a", who)
 
 
-HELD = wire.pack(wire.Part(moves=True, by=(wire.Hold("t2", "a", 1),)))
+HELD = wire.encode(wire.MigrationPart(moves=True, held_tenants=(wire.HeldTenant("t2", "a", 1),)))
 CAUSES: dict[Event, Callable[[Sim, str], Any]] = {  # from outside; by the state that the move is in
-    Event.CONSENT: lambda sim, state: asked_of(sim, "bc" if state == "proposed" else ""),
-    Event.HELD: lambda sim, _: of_c(sim, holds=("v1", "t2"), parts={"moves": HELD}),
+    Event.QUORUM: lambda sim, state: asked_of(sim, "bc" if state == "proposed" else ""),
+    Event.TARGET_HOLDS: lambda sim, _: of_c(sim, holds=("v1", "t2"), parts={"moves": HELD}),
     Event.SETTLED: lambda sim, _: sim.do("empty"),
-    Event.GONE: lambda sim, _: sim.trust["a"].update(c=D),
-    Event.NO_ROOM: lambda sim, _: of_c(sim, room=0),
-    Event.LATE: lambda sim, state: sim.late(
-        120.0 if state in ("settling", *controller.OVER) else 31.0, state
+    Event.TARGET_LOST: lambda sim, _: sim.trust["a"].update(c=D),
+    Event.TARGET_FULL: lambda sim, _: of_c(sim, room=0),
+    Event.TIMEOUT: lambda sim, state: sim.late(
+        120.0 if state in ("settling", *controller.FINAL_STATES) else 31.0, state
     ),
-    Event.UNWANTED: lambda sim, _: (sim.connections["a"].update(t1=0, t3=0), sim.late(5.0)),
-    Event.OFF: lambda sim, _: sim.off(),
-    Event.LIFE: lambda sim, _: sim.lives.update(a=2),
+    Event.NOT_NEEDED: lambda sim, _: (sim.connections["a"].update(t1=0, t3=0), sim.late(5.0)),
+    Event.DISABLED: lambda sim, _: sim.off(),
+    Event.NEW_INCARNATION: lambda sim, _: sim.lives.update(a=2),
 }
 
 
 def play_state(case: unittest.TestCase, row: Row) -> None:
-    """What is caused brings the record into its next state, and what the row says goes out."""
+    """Cause an event in a state; check the next state and the actions of the row."""
     sim, record = at(row["state"])
     CAUSES[Event(row["event"])](sim, row["state"])
     done = sim.settle("a")
     expected = row["state"] if row["next state"] in DASH else row["next state"]
     case.assertEqual(record.state, expected, record.why)
-    out = re.findall(r"`(Full|Less|Withdrawn)`", row["what goes out"])
+    out = re.findall(r"`(Preferred|Depreferred|Withdrawn)`", row["what goes out"])
     case.assertEqual([(type(one).__name__, one.tenant) for one in done], [(name, "t2") for name in out])
-    case.assertEqual(bool(sim.movers["a"]._live()), expected not in controller.OVER)
+    case.assertEqual(bool(sim.movers["a"]._active_records()), expected not in controller.FINAL_STATES)
 
 
 class States(unittest.TestCase):
@@ -322,36 +336,40 @@
         played(self, rows(PAGE, "States"), ("state", "event"), cases)
 
 
-def ask(slot: int = 0, number: int = 1, tenant: str = "t2", target: str = "c", **other: Any) -> wire.Ask:
-    return wire.Ask(slot, number, tenant, target, "a", 1, **other)
+def ask(
+    slot: int = 0, number: int = 1, tenant: str = "t2", target: str = "c", **other: Any
+) -> wire.MoveRequest:
+    return wire.MoveRequest(slot, number, tenant, target, "a", 1, **other)
 
 
-Saying = dict[str, quorum.Said]
+Saying = dict[str, quorum.NodeAnnouncement]
 
 
 def give(made: quorum.Voter, said: Saying, at_once: int = 2) -> dict[tuple[str, int], str]:
-    return made.give(START, TERMS._replace(at_once=at_once), said, lambda *_: None, lambda _: True)
+    return made.grant(START, TERMS._replace(at_once=at_once), said, lambda *_: None, lambda _: True)
 
 
-def voter(*asks: tuple[str, wire.Ask]) -> tuple[quorum.Voter, Saying]:
-    """b's votes, after the asks of others."""
+def voter(*asks: tuple[str, wire.MoveRequest]) -> tuple[quorum.Voter, Saying]:
+    """The votes of b after the given requests."""
     made = quorum.Voter(0.0)
-    said = {name: quorum.Said(fleet().members[name], wire.Part(at_once=2)) for name in FLEET}
+    said = {
+        name: quorum.NodeAnnouncement(fleet().members[name], wire.MigrationPart(at_once=2)) for name in FLEET
+    }
     for name, one in asks:
-        says(said, name, at_once=2, asks=(*said[name].part.asks, one))
+        says(said, name, at_once=2, requests=(*said[name].part.requests, one))
         give(made, said)
     return made, said
 
 
 def says(said: Saying, name: str, **part: Any) -> None:
-    said[name] = said[name]._replace(part=wire.Part(**part))
+    said[name] = said[name]._replace(part=wire.MigrationPart(**part))
 
 
 EVEN = {"a": {"t1": 10, "t2": 10, "t3": 10}, "b": {"u": 30}, "c": {"v": 30}}
 
 
 def claims(sim: Sim, stamp: int, *tenants: str, home: str = "a") -> None:
-    """From now on c tells that it holds these."""
+    """From now on c announces that it holds these tenants."""
     part = {"b": [[tenant, home, stamp] for tenant in tenants], "l": 3e5}  # and that moves take for days
     sim.other["c"] = {"holds": ("v", *tenants), "parts": {"moves": wire._encoder.encode(part)}}
 
@@ -375,7 +393,7 @@
                 ({"snapshot": member.snapshot._replace(state=State.LEAVING)}, "leaving"),
             ):  # fmt: skip
                 seen = plain._replace(members=plain.members | {name: member._replace(**changed)})
-                read = load_ranges.read(seen, TERMS)
+                read = load_ranges.estimate_loads(seen, TERMS)
                 self.assertIn(why, read.unknown[name])
                 self.assertNotIn(name, [one.name for one in read.nodes])
                 self.assertEqual(read.mean.mid, (2100 - sum(FLEET[name].values())) / 2)
@@ -385,7 +403,7 @@
         one = snapshot("a", {"t1": 100}, opened=2.0, loads=(Load("t1", 100, 2.0, 10),))
         found = []
         for age, weight in ((0.0, 1.0), (2.0, 1.0), (4.0, 0.8), (20.0, 0.5)):
-            (node,) = load_ranges.read(view(one, age=age, weight=weight), TERMS).nodes
+            (node,) = load_ranges.estimate_loads(view(one, age=age, weight=weight), TERMS).nodes
             for load in (node.load, node.tenants[0].load):
                 self.assertTrue(load.low <= load.mid <= load.high and load.mid > 0)
             found.append(node.load)
@@ -400,7 +418,7 @@
             {"loads": (Load("t1", 5, float("-inf")),)},
         ):  # fmt: skip
             seen = fleet(own={"a": bad})
-            self.assertIn("tells", load_ranges.read(seen, TERMS).unknown.get("a", ""), bad)
+            self.assertIn("tells", load_ranges.estimate_loads(seen, TERMS).unknown.get("a", ""), bad)
             self.assertEqual(planned(seen).steps, ())
 
     def mo_4(self) -> None:
@@ -419,17 +437,17 @@
         self.assertEqual(names(made), [MOVE])
         self.assertTrue(made.proved and made.before > 1.7 and made.after <= 1.25)
         # The largest first takes three; two of middle size suffice, and the search finds them.
-        target = planner.Target(load_ranges.Node("b", load_ranges.NOTHING, 999, (), frozenset()), 100.0)
+        target = planner.TargetNode(load_ranges.Node("b", load_ranges.NOTHING, 999, (), frozenset()), 100.0)
         every = [load_ranges.Tenant(f"t{at}", load_ranges.Range(many, many, many), many, 0.0)
                  for at, many in enumerate((60, 50, 50, 30, 10))]  # fmt: skip
-        sources = (planner.Source("a", 100.0, tuple((one, (target,)) for one in every)),)
-        given = planner.Problem(sources, (target,), 100.0)
+        sources = (planner.OverloadedNode("a", 100.0, tuple((one, (target,)) for one in every)),)
+        given = planner.PackingProblem(sources, (target,), 100.0)
         self.assertEqual([one[1].connections for one in planner.greedy(given)[0]], [60, 30, 10])
-        (chosen, left), proved = planner.fewest(given)
+        (chosen, left), proved = planner.fewest_moves(given)
         self.assertEqual(([one[1].connections for one in chosen], left, proved), ([50, 50], 0, True))
-        like = planner.Source("a", 1.0, ((every[1], (target,)),) * 3)
+        like = planner.OverloadedNode("a", 1.0, ((every[1], (target,)),) * 3)
         for large, kept in (True, [2, 1]), (False, [1, 2]):  # no tenant twice; one given up may come again
-            self.assertEqual(planner._chosen(like, 2, large), kept)
+            self.assertEqual(planner._smallest_sufficient_set(like, 2, large), kept)
         self.assertNotIn(MOVE, names(planned(fleet(room=399))))
 
     def mo_6(self) -> None:
@@ -477,7 +495,7 @@
         sim.run(900.0, 5.0)
         self.assertEqual((sim.out, sim.begun, sim.state()), ([], [], "proposed"))
         for mover in sim.movers.values():
-            (one,) = mover.shown(sim.now)
+            (one,) = mover.recommendations(sim.now)
             self.assertEqual((one.tenant, one.source, one.target), MOVE)
             self.assertIn("1.71 of the mean 700, bound 875", one.why)
 
@@ -486,7 +504,7 @@
             scene(self, f"proposed: {heard}, c hears a, a hears c, begun")
         sim = Sim(flow=20.0)
         sim.until(lambda: sim.state() == "kept")
-        self.assertEqual(sim.out, [("c", Full("t2")), ("a", Less("t2")), ("a", Withdrawn("t2"))])
+        self.assertEqual(sim.out, [("c", Preferred("t2")), ("a", Depreferred("t2")), ("a", Withdrawn("t2"))])
         sim.run(1200.0, 5.0)
         self.assertEqual(len(sim.begun), 1)  # it is even now
         self.assertLess(max(sum(its.values()) for its in sim.connections.values()), 876)
@@ -501,7 +519,7 @@
                 sim.trust[who][of] = D
             sim.run(200.0)
             self.assertEqual(bool(sim.begun), begins, unseen)
-        why = next(one.why for one in sim.movers["a"].shown(sim.now) if one.state == "expired")
+        why = next(one.why for one in sim.movers["a"].recommendations(sim.now) if one.state == "expired")
         self.assertIn("2 of 3 votes", why)
 
     def mo_13(self) -> None:
@@ -511,14 +529,14 @@
             (("c", ask(2, tenant="v1")), 1), (("c", ask(1, tenant="t1")), 1),  # which it does not hold
         ):  # fmt: skip
             made, _ = voter(("a", ask()), second)
-            self.assertEqual(len(made.given), many, second)
-            self.assertEqual(made.given[0].ask, ask())
+            self.assertEqual(len(made.granted), many, second)
+            self.assertEqual(made.granted[0].request, ask())
 
     def mo_14(self) -> None:
         for after, given_ in ((449.0, 0), (451.0, 1)):
             made = quorum.Voter(START - after)
             give(made, voter(("a", ask()))[1], 1)
-            self.assertEqual(len(made.given), given_)
+            self.assertEqual(len(made.granted), given_)
         sim = Sim()
         sim.play("run 1, restart b, restart c")
         for seconds, many in ((440.0, 0), (200.0, 1)):
@@ -527,56 +545,56 @@
         sim = Sim(FLEET | {"d": {"w1": 310}})  # c alone has just started: d takes it, nothing is asked of c
         sim.play("run 1, restart c")
         sim.until(lambda: sim.begun)
-        self.assertEqual((sim.begun[0][1:], sim.movers["a"].number), (("t2", "a", "d"), 1))
+        self.assertEqual((sim.begun[0][1:], sim.movers["a"].last_number), (("t2", "a", "d"), 1))
 
     def mo_15(self) -> None:
         for part, later, held, rests in (
-            ({"asks": (ask(begun=True),)}, 60.0, True, False), ({}, 60.0, False, True),
-            ({"dropped": (1,)}, 60.0, False, False), ({"asks": (ask(),)}, 151.0, False, True),
+            ({"requests": (ask(begun=True),)}, 60.0, True, False), ({}, 60.0, False, True),
+            ({"dropped": (1,)}, 60.0, False, False), ({"requests": (ask(),)}, 151.0, False, True),
         ):  # fmt: skip
             made, said = voter(("a", ask()))
             says(said, "a", **part)
             made.release(START + later, said, {name: one.member for name, one in said.items()}, TERMS)
-            self.assertEqual((0 in made.given, 0 in made.resting), (held, rests), part)
+            self.assertEqual((0 in made.granted, 0 in made.cooling_down), (held, rests), part)
         for at_once, an_hour, rest, span in ((1, 12, 300, 300), (1, 12, 600, 600), (4, 12, 300, 1200),
                                              (5, 12, 1, 1800), (8, 2, 1, 3600)):  # fmt: skip
             terms = TERMS._replace(at_once=at_once, an_hour=an_hour, rest=rest)
-            self.assertEqual(quorum.spacing(terms), span)
-            self.assertLessEqual(min(at_once, an_hour) * (quorum.HOUR // span), an_hour)
+            self.assertEqual(quorum.slot_cool_down(terms), span)
+            self.assertLessEqual(min(at_once, an_hour) * (quorum.SECONDS_PER_HOUR // span), an_hour)
 
     def mo_16(self) -> None:
         said = voter()[1]
         for told, many in ((3, 3), (2, 2), (1, 1), (9, 4)):
             for name, at_once in (("a", 9), ("b", 9), ("c", told)):
                 says(said, name, at_once=at_once)
-            self.assertEqual(quorum.slots(TERMS._replace(at_once=4), said), many)
+            self.assertEqual(quorum.slot_count(TERMS._replace(at_once=4), said), many)
         made, said = voter(("a", ask(1)))
-        self.assertIn(1, made.given)
+        self.assertIn(1, made.granted)
         says(said, "c", at_once=1)
         self.assertIn("1 at once", give(quorum.Voter(0.0), said, 4)["a", 1])
 
     def mo_17(self) -> None:
-        vote, own = wire.Vote(0, "a", 1, 1), [quorum.Given(ask(), "a", 1, START + 9)]
+        vote, own = wire.Vote(0, "a", 1, 1), [quorum.GrantedVote(ask(), "a", 1, START + 9)]
         none = ", none of the target's"
         for known, target, text, is_given in (
             (3, "c", "2 of 2 votes", True), (5, "c", "2 of 3 votes", False),
             (5, "b", f"2 of 3 votes{none}", False), (3, "b", f"2 of 2 votes{none}", False),
         ):  # fmt: skip
             said = voter()[1]
-            says(said, "c", votes=(vote,), known=known)
-            found = quorum.count(vote, target, "a", own, 3, said)
-            self.assertEqual((found.text, found.given), (text, is_given))
+            says(said, "c", votes=(vote,), known_node_count=known)
+            found = quorum.count_votes(vote, target, "a", own, 3, said)
+            self.assertEqual((found.text, found.is_majority), (text, is_given))
 
     def mo_18(self) -> None:
-        seen, known = fleet(), quorum.Known()
+        seen, known = fleet(), quorum.KnownNodes()
         b = seen.members["b"]
         farewell = b._replace(snapshot=b.snapshot._replace(state=State.GONE))
         gone = seen._replace(members=seen.members | {"b": farewell})
         lost = seen._replace(members={"a": seen.members["a"]})
         for after, what, many in ((0, seen, 3), (1, gone, 3), (150, gone, 3), (151, gone, 2), (1000, lost, 2),
                                   (86_400, lost, 2), (86_700, lost, 1)):  # fmt: skip
-            known.saw(START + after, what, 150.0)
-            self.assertEqual(known.many, many)
+            known.observe(START + after, what, 150.0)
+            self.assertEqual(known.count, many)
 
     mo_19 = scenes(
         "proposed: c hears a, kill a, c unsure a, F--, c finds a, F-F",
@@ -592,8 +610,8 @@
             sim = Sim({"a": {"t": 10}, "b": {"x": 10}, "c": {"y": 10}})
             sim.connections["b"]["t"] = 10
             for name, stamp in (("b", of_b), ("c", of_c)):
-                place = sim.movers[name].places["t"]
-                place.home, place.stamp, place.level = "a", stamp, Level.FULL
+                place = sim.movers[name].tenant_states["t"]
+                place.home, place.stamp, place.level = "a", stamp, Level.PREFERRED
             steps = "run 10, LLF, cut a c, a unsure c, run 120, L-F, heal, run 5, --F"
             scene(self, steps, sim, tenant="t")
 
@@ -617,64 +635,88 @@
         sim = Sim(flow=20.0)
         sim.until(lambda: sim.state() == "kept")
         sim.run(10.0)
-        self.assertEqual(sim.movers["b"]._allowed().busy, {"a", "c"})
-        self.assertIn("t2", sim.movers["c"].bars)
+        self.assertEqual(sim.movers["b"]._constraints().busy, {"a", "c"})
+        self.assertIn("t2", sim.movers["c"].hold_downs)
         sim.run(310.0, 2.0)
         # c fills with a tenant that none can take: t2 would go back to a, the only one with room for it.
-        mine = sim.movers["b"]._allowed()
-        self.assertEqual((mine.busy, mine.barred), (frozenset(), {wire.pair("t2", "a")}))
-        self.assertIsNotNone(sim.movers["c"].bars["t2"].mine)
+        mine = sim.movers["b"]._constraints()
+        self.assertEqual((mine.busy, mine.barred_pairs), (frozenset(), {wire.pair_hash("t2", "a")}))
+        self.assertIsNotNone(sim.movers["c"].hold_downs["t2"].mine)
         sim.connections["c"]["v1"] += 700
         sim.run(12.0, 2.0)
-        self.assertNotIn("t2", sim.movers["c"].bars)  # that is a new cause
+        self.assertNotIn("t2", sim.movers["c"].hold_downs)  # that is a new cause
         sim, _ = at("undone")
-        self.assertEqual(sim.movers["a"].bars["t2"].other, "c")
+        self.assertEqual(sim.movers["a"].hold_downs["t2"].other, "c")
 
     def mo_24(self) -> None:
         rng, encode = Random(7), wire._encoder.encode
-        part = wire.Part(moves=True, asks=(ask(begun=True, gain=7.5),), votes=(wire.Vote(0, "a", 1, 1),),
-                         by=(wire.Hold("t", "a", 3),), barred=b"abcd", can=b"\x01\x80")  # fmt: skip
-        data = wire.pack(part)
-        for whole in (part, wire.Part()):
-            self.assertEqual(wire.read(wire.pack(whole)), whole)
+        part = wire.MigrationPart(
+            moves=True,
+            requests=(ask(begun=True, gain=7.5),),
+            votes=(wire.Vote(0, "a", 1, 1),),
+            held_tenants=(wire.HeldTenant("t", "a", 3),),
+            barred_pairs=b"abcd",
+            eligible=b"\x01\x80",
+        )
+        data = wire.encode(part)
+        for whole in (part, wire.MigrationPart()):
+            self.assertEqual(wire.decode(wire.encode(whole)), whole)
         longer = [0, 1, "t", "c", "a", 1, False, 0.0, False, "more"]
-        read = wire.read(encode({"v": 9, "a": 3, "zz": [1, 2], "s": [longer]}))
-        assert isinstance(read, wire.Part), read
-        self.assertEqual((read.version, read.at_once, len(read.asks)), (9, 3, 1))
-        for bad in (b"", b"\xc1", data[:-1], data + data, b"\x00" * 3000, encode({"a": 0}), encode({"k": -1}),
-                    encode({"s": [[99, 1, "t", "c", "a", 1]]}), encode({"n": b"xyz"}),
-                    encode({"r": float("nan")})):  # fmt: skip
-            self.assertIsInstance(wire.read(bad), wire.Bad, bad)
+        read = wire.decode(encode({"v": 9, "a": 3, "zz": [1, 2], "s": [longer]}))
+        assert isinstance(read, wire.MigrationPart), read
+        self.assertEqual((read.version, read.at_once, len(read.requests)), (9, 3, 1))
+        for bad in (
+            b"",
+            b"\xc1",
+            data[:-1],
+            data + data,
+            b"\x00" * 3000,
+            encode({"a": 0}),
+            encode({"k": -1}),
+            encode({"s": [[99, 1, "t", "c", "a", 1]]}),
+            encode({"n": b"xyz"}),
+            encode({"r": float("nan")}),
+        ):
+            self.assertIsInstance(wire.decode(bad), wire.InvalidPart, bad)
         for _ in range(2000):
             noise = bytearray(data)
             noise[rng.randrange(len(noise))] = rng.randrange(256)
-            self.assertIsInstance(wire.read(bytes(noise)), wire.Part | wire.Bad)
-        many = tuple(wire.Hold(f"tenant-{at}", "node-1", at) for at in range(500))
-        packed = wire.pack(wire.Part(by=many, barred=bytes(256), asks=part.asks, votes=part.votes))
-        read = wire.read(packed)
-        self.assertLessEqual(len(packed), wire.PART_MOST)
-        self.assertTrue(isinstance(read, wire.Part) and read.asks == part.asks and read.by and read.votes)
+            self.assertIsInstance(wire.decode(bytes(noise)), wire.MigrationPart | wire.InvalidPart)
+        many = tuple(wire.HeldTenant(f"tenant-{at}", "node-1", at) for at in range(500))
+        packed = wire.encode(
+            wire.MigrationPart(
+                held_tenants=many, barred_pairs=bytes(256), requests=part.requests, votes=part.votes
+            )
+        )
+        read = wire.decode(packed)
+        self.assertLessEqual(len(packed), wire.MAX_PART_BYTES)
+        self.assertTrue(
+            isinstance(read, wire.MigrationPart)
+            and read.requests == part.requests
+            and read.held_tenants
+            and read.votes
+        )
         sim = Sim()
         sim.round()
         of_c(sim, parts={"moves": b"\xc1"})
         sim.play("wait 0, wait 0")
         self.assertEqual(sim.movers["a"].counts["moves_bad_part"], 1)
         tenants = frozenset(f"tenant-{at}" for at in range(1000))
-        can = wire.Can(wire.Can.of(tenants).bits)
-        self.assertTrue(all(one in can for one in tenants) and len(can.bits) <= wire.CAN_MOST)
+        can = wire.TenantFilter(wire.TenantFilter.build(tenants).bits)
+        self.assertTrue(all(one in can for one in tenants) and len(can.bits) <= wire.MAX_FILTER_BYTES)
         self.assertLess(sum(f"other-{at}" in can for at in range(1000)), 60)
-        self.assertNotIn("any", wire.Can.of(frozenset()))
+        self.assertNotIn("any", wire.TenantFilter.build(frozenset()))
 
     def mo_25(self) -> None:
         for state in ("begun", "settling"):  # and it is in full by its file at first
             found = f"{state}: kill a, run 5, b finds a, c finds a, run 5, ??F"
             sim = scene(self, f"{found}, restart a, F?F, run 5, L??, run 70, -?F")
-            self.assertEqual(sim.level("a", "t1"), Level.FULL)
+            self.assertEqual(sim.level("a", "t1"), Level.PREFERRED)
 
     def mo_26(self) -> None:
-        changes: tuple[tuple[Callable[[Sim, Mover], Any], str], ...] = (
-            (lambda sim, c: setattr(c, "rest_until", sim.now + 100), "rests"),
-            (lambda sim, c: setattr(c.places["u1"], "on_way", True), "in another move"),
+        changes: tuple[tuple[Callable[[Sim, MigrationCoordinator], Any], str], ...] = (
+            (lambda sim, c: setattr(c, "cool_down_until", sim.now + 100), "rests"),
+            (lambda sim, c: setattr(c.tenant_states["u1"], "is_arriving", True), "in another move"),
             (lambda sim, c: setattr(c, "terms", TERMS._replace(act="recommend")), "may not"),
             (lambda sim, c: sim.connections["c"].update(v1=700), "over its bound"),
             (lambda sim, c: sim.other["c"].update(room=399), "room for 399"),
@@ -684,19 +726,19 @@
             sim.now += 6.0
             change(sim, sim.movers["c"])
             sim.do("c hears a")
-            self.assertIn(why, next(iter(sim.movers["c"].against.values()), ""))
-            self.assertEqual(sim.movers["c"].voter.given, {})
+            self.assertIn(why, next(iter(sim.movers["c"].refusals.values()), ""))
+            self.assertEqual(sim.movers["c"].voter.granted, {})
 
     def mo_27(self) -> None:
-        """2.2 s until votes are back, and 2.6 s from `begun` until the source sees that the target holds it,
-        with `settle` at 3 s."""
+        """2.2 s until votes arrive, and 2.6 s from `begun` until the source sees that the target holds the
+        tenant, with `settle` at 3 s."""
         short = TERMS._replace(settle=3.0, period=0.3, rise=1.5)
         begun = "b hears a, c hears a, wait 2.2, proposed, a hears b, a hears c, begun"
         for then in "c hears a, wait 2.6, begun, a hears c, settling", "cut a c, wait 4, undone":
             scene(self, f"{begun}, {then}", *asked(Sim(terms=short), 0.3))
 
     def mo_28(self) -> None:
-        """Connections that never close: nodes by what they hold, of what others still have."""
+        """Connections that never close: loads are predicted for the time after settling."""
         a, b, c = ({"holds": holds} for holds in (("t1", "t3"), ("u1", "u2", "t2"), ("v1", "t2")))
         moved = fleet(own={"a": a, "c": c})
         for seen, expected in (
@@ -705,7 +747,7 @@
             (fleet(own={"a": a}), (1200, 600, 300)),  # nobody holds t2
             (fleet(own={"a": a, "b": b, "c": c}), (800, 800, 500)),  # both
         ):  # fmt: skip
-            read = load_ranges.read(seen, TERMS)
+            read = load_ranges.estimate_loads(seen, TERMS)
             self.assertEqual(tuple(one.load.mid for one in read.nodes), expected)
             self.assertEqual([one.room for one in read.nodes], [5000] * 3)  # of what is there now
             self.assertEqual(read.mean.mid, sum(expected) / 3)
@@ -713,7 +755,9 @@
                 self.assertLessEqual(sum(one.load.mid for one in node.tenants), node.load.mid)
                 self.assertTrue(0 <= node.load.low <= node.load.mid <= node.load.high)
         self.assertEqual(names(planned(moved)), [])  # once is enough
-        (tenant,) = [one for one in load_ranges.read(moved, TERMS).nodes[2].tenants if one.name == "t2"]
+        (tenant,) = [
+            one for one in load_ranges.estimate_loads(moved, TERMS).nodes[2].tenants if one.name == "t2"
+        ]
         self.assertEqual((tenant.load.mid, tenant.connections), (400, 400))
         twelve = {f"t{at_}": 100 for at_ in range(12)}
         sim = Sim({"a": twelve, "b": {"u": 100}, "c": {"v": 100}, "d": {"w": 100}})
@@ -728,34 +772,34 @@
             "c": {"v": 100}, "d": {"w": 390}, "e": {"x": 650}, "f": {"y": 650},
         }  # fmt: skip
         sim = Sim(tenants, TERMS._replace(at_once=2, an_hour=3600, settle=24.0, rest=20.0), flow=3.0)
-        sim.until(lambda: sim.movers["c"].against)
-        self.assertEqual(sim.movers["c"].against, {("a", 1): "is in another move, or rests"})
-        (record,) = sim.movers["a"]._live()
+        sim.until(lambda: sim.movers["c"].refusals)
+        self.assertEqual(sim.movers["c"].refusals, {("a", 1): "is in another move, or rests"})
+        (record,) = sim.movers["a"]._active_records()
         sim.until(lambda: record.state != "proposed")
         self.assertEqual((record.key, str(record.state)), (("t1", "a", "c"), "expired"))
         self.assertIn("none of the target's", record.why)
-        self.assertEqual((sim.movers["a"].bars, sim.begun[0][2:]), ({}, ("b", "c")))
+        self.assertEqual((sim.movers["a"].hold_downs, sim.begun[0][2:]), ({}, ("b", "c")))
         # The same where c was promised to another, or rested, for a part of the time only; and for its load.
         promise = {"votes": (wire.Vote(1, "b", 1, 9),)}
         for first, other, barred in (
-            ({"resting": 9.0}, (), False), ({"asks": (ask(1, 9, "v1", "b"),)}, (), False),
+            ({"resting": 9.0}, (), False), ({"requests": (ask(1, 9, "v1", "b"),)}, (), False),
             (promise, (ask(1, 9, "u1"),), False), ({}, (ask(1, 9, "u1"),), True), ({}, (), True),
         ):  # fmt: skip
             sim, record = asked(Sim())
             sim.do("b hears a")
             sim.hear("a", "b")
-            plain = {name: wire.read(sim.seen["a"][name][0].parts["moves"]) for name in "bc"}
-            asks = {"parts": {"moves": wire.pack(structs.replace(plain["b"], asks=other))}}
+            plain = {name: wire.decode(sim.seen["a"][name][0].parts["moves"]) for name in "bc"}
+            asks = {"parts": {"moves": wire.encode(structs.replace(plain["b"], requests=other))}}
             sim.hear("a", "b", sim.seen["a"]["b"][0]._replace(**asks))
             for changed in (first, {}):
-                of_c(sim, parts={"moves": wire.pack(structs.replace(plain["c"], **changed))})
+                of_c(sim, parts={"moves": wire.encode(structs.replace(plain["c"], **changed))})
                 sim.settle("a")
                 sim.now += 15.5
                 sim.seen["a"] = {of: (said, sim.now) for of, (said, _) in sim.seen["a"].items()}
             sim.settle("a")
             self.assertEqual((record.state, record.why.split(";")[0]),
                              ("expired", "2 of 2 votes, none of the target's"))  # fmt: skip
-            self.assertEqual("t2" in sim.movers["a"].bars, barred, (first, other))
+            self.assertEqual("t2" in sim.movers["a"].hold_downs, barred, (first, other))
 
     def mo_30(self) -> None:
         near = 1 << 32
@@ -770,17 +814,17 @@
             self.assertEqual((given_up(sim), a.counts["moves_not_believed"], a.counts["moves_bad_part"]),
                              (["t1"] * believed, not_believed, bad))  # fmt: skip
             sim.run(100.0)
-            self.assertEqual(sim.level("a", "t1"), Level.WITHDRAWN if believed else Level.FULL)
+            self.assertEqual(sim.level("a", "t1"), Level.WITHDRAWN if believed else Level.PREFERRED)
             sim.other["c"] = {}  # it stops
             sim.run(40.0)
-            self.assertEqual((given_up(sim), a.places["t1"].stamp), ([], stamp + 1 if believed else 0))
-            self.assertIsInstance(wire.read(a.part(sim.now)), wire.Part)
+            self.assertEqual((given_up(sim), a.tenant_states["t1"].stamp), ([], stamp + 1 if believed else 0))
+            self.assertIsInstance(wire.decode(a.encoded_part(sim.now)), wire.MigrationPart)
         for stamp, votes in ((near, 1), (near + 1, 0)):
             sim, record = asked(Sim())
-            record.ask = structs.replace(record.ask, stamp=stamp)
+            record.request = structs.replace(record.request, stamp=stamp)
             sim.do("c hears a")
-            self.assertEqual(len(sim.movers["c"].voter.given), votes)
-            self.assertEqual("stamp" in "".join(sim.movers["c"].against.values()), not votes)
+            self.assertEqual(len(sim.movers["c"].voter.granted), votes)
+            self.assertEqual("stamp" in "".join(sim.movers["c"].refusals.values()), not votes)
 
     def mo_31(self) -> None:
         every = tuple(EVEN["a"])
@@ -809,19 +853,24 @@
             sim.run(10.0)
             self.assertEqual(given_up(sim), gives)
         sim = Sim()  # c was asked, and took a for dead
-        sim.movers["a"].ask_at = START + 40.0
+        sim.movers["a"].next_request_at = START + 40.0
         scene(self, "c hears a, c doubts a, F-F, c hears a, a hears c, L-F", *asked(sim))
 
     def mo_32(self) -> None:
         every = tuple(EVEN["a"])
         for kin, before, after, many in (
-            ({}, 0, 290, 1), ({}, 0, 310, 2), ({}, 0, 610, 3), (None, 0, 3, 3), ({"offered": "c"}, 40, 3, 3),
-            ({"came": ("b", 1, 1), "stamp": 4}, 40, 3, 1), ({"came": ("c", 1, 1), "stamp": 4}, 40, 3, 3),
+            ({}, 0, 290, 1),
+            ({}, 0, 310, 2),
+            ({}, 0, 610, 3),
+            (None, 0, 3, 3),
+            ({"offered_to": "c"}, 40, 3, 3),
+            ({"arrived_by": ("b", 1, 1), "stamp": 4}, 40, 3, 1),
+            ({"arrived_by": ("c", 1, 1), "stamp": 4}, 40, 3, 3),
             ({"home": "c", "stamp": 4}, 40, 3, 3),
-        ):  # fmt: skip
+        ):
             sim = Sim(EVEN)
             for tenant in every:
-                vars(sim.movers["a"].places[tenant]).update(kin or {})
+                vars(sim.movers["a"].tenant_states[tenant]).update(kin or {})
             sim.run(before)
             if kin is None:
                 sim.do("restart a")
@@ -854,20 +903,20 @@
     def test_an_absurd_number_of_nodes_blocks_and_no_more(self) -> None:
         sim = Sim()
         for mover in sim.movers.values():
-            mover.known.there |= {f"ghost-{index}": 1e9 for index in range(9)}
+            mover.known_nodes.last_present_at |= {f"ghost-{index}": 1e9 for index in range(9)}
         sim.run(120.0)
         self.assertEqual(sim.begun, [])
-        self.assertIn("of 7 votes", sim.movers["a"].shown(sim.now)[-1].why)
+        self.assertIn("of 7 votes", sim.movers["a"].recommendations(sim.now)[-1].why)
 
     def test_a_tenant_that_leaves_the_file(self) -> None:
-        for state, over, back in (("proposed", "expired", Full), ("begun", "undone", Full),
-                                  ("settling", "undone", Less)):  # fmt: skip
+        for state, over, back in (("proposed", "expired", Preferred), ("begun", "undone", Preferred),
+                                  ("settling", "undone", Depreferred)):  # fmt: skip
             sim, record = at(state)
             mover = sim.movers["a"]
-            mover.change(sim.now, TERMS, sim.every - {"t2"}, sim.files["a"] - {"t2"})
+            mover.reconfigure(sim.now, TERMS, sim.every - {"t2"}, sim.files["a"] - {"t2"})
             sim.settle("a")
             self.assertEqual((record.state, "t2" in mover.holds), (over, False))
-            mover.change(sim.now, TERMS, sim.every, sim.files["a"])
+            mover.reconfigure(sim.now, TERMS, sim.every, sim.files["a"])
             self.assertEqual([type(one) for one in sim.settle("a")], [back])  # c is the newer holder
 
 
@@ -885,7 +934,7 @@
                 weight=draw(st.sampled_from((1.0, 0.9))))  # fmt: skip
 
 
-def suffices(given: planner.Problem, chosen: Iterable[planner.Choice]) -> bool:
+def suffices(given: planner.PackingProblem, chosen: Iterable[planner.Choice]) -> bool:
     needs = [one.need for one in given.sources]
     gaps, room = {one.name: one.gap for one in given.targets}, {one.name: one.room for one in given.targets}
     gone = [tenant.name for _, tenant, _ in chosen]
@@ -902,7 +951,7 @@
     @given(fleets(), st.sampled_from((0, 500)), st.sampled_from((1.1, 1.25, 2.0)))
     def test_plans(self, seen: View, steps: int, uneven: float) -> None:
         terms = TERMS._replace(uneven=uneven)
-        read = load_ranges.read(seen, terms)
+        read = load_ranges.estimate_loads(seen, terms)
         made = planner.plan(read, allowed(seen), terms, steps)
         after = {one.name: one.load.high for one in read.nodes}
         room = {one.name: one.room for one in read.nodes}
@@ -918,15 +967,17 @@
         self.assertEqual(len({step.tenant for step in made.steps}), len(made.steps))
         self.assertLessEqual(made.after, made.before + 1e-9)
         mixed = seen._replace(members=dict(reversed(seen.members.items())))
-        self.assertEqual(planner.plan(load_ranges.read(mixed, terms), allowed(mixed), terms, steps), made)
+        self.assertEqual(
+            planner.plan(load_ranges.estimate_loads(mixed, terms), allowed(mixed), terms, steps), made
+        )
 
     @settings(derandomize=True, deadline=None, max_examples=100)
     @given(fleets())
     def test_the_search_is_never_worse(self, seen: View) -> None:
-        given = planner.problem(load_ranges.read(seen, TERMS), allowed(seen), TERMS)
+        given = planner.build_problem(load_ranges.estimate_loads(seen, TERMS), allowed(seen), TERMS)
         before = [(one.name, one.gap, one.room) for one in given.targets]
         chosen, left = planner.greedy(given)
-        (found, over), proved = planner.fewest(given, 2000)
+        (found, over), proved = planner.fewest_moves(given, 2000)
         self.assertTrue(over < left or (over == left and len(found) <= len(chosen)))
         ways = [(at_, tenant, target) for at_, source in enumerate(given.sources)
                 for tenant, where in source.tenants for target in where]  # fmt: skip
@@ -937,7 +988,8 @@
             self.assertTrue(abs(one.gap - gap) < 1e-6 and one.room == room)
 
     def test_the_budget_over_hours_with_losses(self) -> None:
-        """Several sources and slots, half of the snapshots lost: never more at once, nor an hour."""
+        """Several sources and slots with half of all snapshots lost: the limits of concurrent and hourly
+        moves hold."""
         for seed, at_once in ((1, 1), (2, 3)):
             rng = Random(seed)
             tenants = {f"n{at_}": {f"t{at_}-{index}": rng.randrange(20, 120) for index in range(many)}
@@ -962,7 +1014,7 @@
 
 
 class Times(unittest.TestCase):
-    """No step of a move is shorter than what has to happen in it, whatever the operators set."""
+    """No step of a move has less time than it needs, whatever the settings."""
 
     def test_of_a_file(self) -> None:
         for moves, period, announce, asking, beginning in (
@@ -979,30 +1031,32 @@
                 file.flush()
                 terms = service_config.read_service_config(Path(file.name))["moves"].terms
                 self.assertEqual(terms.settle, moves)
-                self.assertAlmostEqual(quorum.asking(terms), asking)
-                self.assertAlmostEqual(quorum.beginning(terms), beginning)
-                self.assertAlmostEqual(quorum.longest(terms), asking + beginning + moves)
+                self.assertAlmostEqual(quorum.request_timeout(terms), asking)
+                self.assertAlmostEqual(quorum.begin_timeout(terms), beginning)
+                self.assertAlmostEqual(quorum.max_duration(terms), asking + beginning + moves)
 
 
 class Bars(unittest.TestCase):
     def test_more_than_a_thousand(self) -> None:
-        """This node bars all of them for itself, and tells of the newest."""
+        """This node keeps all hold-downs for itself and announces the newest."""
         every = [f"t{at}" for at in range(1500)]
         sim = Sim({"a": dict.fromkeys(every, 1), "b": {"u": 300}, "c": {"v": 300}})
         sim.round()
         mover = sim.movers["a"]
         for tenant in (*every, "none of its own"):
-            mover._bar(sim.now, tenant, "c")
-        self.assertEqual(len(mover.bars), len(every))
+            mover._hold_down(sim.now, tenant, "c")
+        self.assertEqual(len(mover.hold_downs), len(every))
         sim.play("wait 0, b hears a")
-        mine, told = mover._allowed(), sim.movers["b"]._allowed().barred
-        self.assertFalse([tenant for tenant in every if mine.may(tenant, "c")])
-        self.assertIn(wire.pair(every[-1], "c"), told)
-        self.assertNotIn(wire.pair(every[0], "c"), told)
-        room = wire.PART_MOST - wire.size(structs.replace(mover._part(sim.now), barred=b""))
-        self.assertGreaterEqual(len(told), room // wire.PAIR - 2)
-        mover.change(sim.now, TERMS, frozenset(every[:10]), frozenset(every[:10]))
-        self.assertEqual(set(mover.bars), set(every[:10]))
+        mine, told = mover._constraints(), sim.movers["b"]._constraints().barred_pairs
+        self.assertFalse([tenant for tenant in every if mine.allows(tenant, "c")])
+        self.assertIn(wire.pair_hash(every[-1], "c"), told)
+        self.assertNotIn(wire.pair_hash(every[0], "c"), told)
+        room = wire.MAX_PART_BYTES - wire.encoded_size(
+            structs.replace(mover._own_part(sim.now), barred_pairs=b"")
+        )
+        self.assertGreaterEqual(len(told), room // wire.PAIR_BYTES - 2)
+        mover.reconfigure(sim.now, TERMS, frozenset(every[:10]), frozenset(every[:10]))
+        self.assertEqual(set(mover.hold_downs), set(every[:10]))
 
 
 class Shown(unittest.TestCase):
@@ -1025,12 +1079,12 @@
 
     def test_next_is_when_something_happens(self) -> None:
         sim, _ = asked(Sim())
-        self.assertTrue(sim.now < sim.movers["a"].next(sim.now) <= sim.now + 30.0)
+        self.assertTrue(sim.now < sim.movers["a"].next_advance_at(sim.now) <= sim.now + 30.0)
 
 
 class World(Sim):
-    """Two tenants, t of a and u of b, that should both go to c; a and b do not know yet that the other one is
-    heavy."""
+    """Two tenants, t of a and u of b, that should both move to c; a and b don't know yet that the other one
+    is overloaded."""
 
     def __init__(self, **left: int) -> None:
         super().__init__({"a": {"t": 350, "x": 650}, "b": {"u": 350, "z": 650}, "c": {"y": 10}})
@@ -1093,7 +1147,7 @@
             self.settle(second)
 
     def wrong(self) -> str:
-        """What does not hold, or ""."""
+        """A violated guarantee, or ""."""
         alive = [name for name in self.movers if name not in self.dead]
         under_way = [one for name in alive for one in self.live(name)]
         if len(under_way) > TERMS.at_once:
@@ -1112,8 +1166,7 @@
         return ""
 
     def found(self, who: str) -> bool:
-        """Whether a node knows of all deaths, those that are dead, and those that live again; and of all that
-        leave."""
+        """Whether a node knows of all deaths, restarts and leaving nodes."""
         for of, (said, _) in self.seen[who].items():
             if of == who:
                 continue
@@ -1124,14 +1177,28 @@
         return True
 
     def key(self) -> bytes:
-        movers = [(
-            [vars(place) for place in mover.places.values()],
-            [(one.state, one.ask, one.until, one.ends, one.engaged) for one in mover._live()],
-            sorted(mover.voter.given.items()), sorted(mover.voter.resting.items()), mover.number,
-            list(mover.dropped), mover.rest_until, mover.ask_at, mover.over_since, sorted(mover.bars.items()),
-            sorted((of, said.incarnation, said.state, said.holds, said.parts["moves"], self.trust[name][of])
-                   for of, (said, _) in self.seen[name].items()),
-        ) for name, mover in self.movers.items()]  # fmt: skip
+        movers = [
+            (
+                [vars(place) for place in mover.tenant_states.values()],
+                [
+                    (one.state, one.request, one.expires_at, one.deadline, one.was_target_busy)
+                    for one in mover._active_records()
+                ],
+                sorted(mover.voter.granted.items()),
+                sorted(mover.voter.cooling_down.items()),
+                mover.last_number,
+                list(mover.dropped_numbers),
+                mover.cool_down_until,
+                mover.next_request_at,
+                mover.overloaded_since,
+                sorted(mover.hold_downs.items()),
+                sorted(
+                    (of, said.incarnation, said.state, said.holds, said.parts["moves"], self.trust[name][of])
+                    for of, (said, _) in self.seen[name].items()
+                ),
+            )
+            for name, mover in self.movers.items()
+        ]
         return repr((self.now, sorted(self.dead), sorted(self.leaving), self.left, movers)).encode()
 
 
@@ -1141,8 +1208,8 @@
 
 
 def explore(first: list[str], most: int, **left: int) -> tuple[str, list[str], int]:
-    """Breadth first, every step from every state, until something does not hold or `most` states are
-    known."""
+    """Breadth-first search through all steps from all states, until a guarantee is violated or `most` states
+    are known."""
     world = World(**left)
     for step in first:
         world.do(step)
@@ -1172,7 +1239,7 @@
 
     def test_the_start_is_two_asks(self) -> None:
         world = World()
-        self.assertEqual([len(world.movers[name]._live()) for name in "abc"], [1, 1, 0])
+        self.assertEqual([len(world.movers[name]._active_records()) for name in "abc"], [1, 1, 0])
         for name, first in PATHS.items():
             world = World()
             for step in first:
@@ -1180,7 +1247,7 @@
             self.assertEqual(world.state(("t", "a", "c")), "proposed" if name == "asked" else name)
 
     def test_every_order(self) -> None:
-        """And every order where nodes leave."""
+        """All orders of steps, and all orders in which nodes leave."""
         for left, most in ({}, self.MOST), (LEAVE, self.MOST // 2):
             for name, first in PATHS.items():
                 with self.subTest(name, left=left):
@@ -1189,25 +1256,29 @@
                     self.assertGreaterEqual(known, most)
 
     def test_what_is_taken_out_is_found(self) -> None:
-        event = Mover._event
+        event = MigrationCoordinator._event
 
-        def rash(mover: Mover, now: float, record: controller.Record) -> tuple[Event, str] | None:
+        def rash(
+            mover: MigrationCoordinator, now: float, record: controller.MigrationRecord
+        ) -> tuple[Event, str] | None:
             """The source withdraws without asking whether the target holds it."""
             if record.state in (controller.State.BEGUN, controller.State.SETTLING):
-                return (Event.HELD if record.state == controller.State.BEGUN else Event.SETTLED), "rash"
+                return (
+                    Event.TARGET_HOLDS if record.state == controller.State.BEGUN else Event.SETTLED
+                ), "rash"
             return event(mover, now, record)
 
         for owner, name, instead, first, left, said in (
             (
                 controller,
-                "_remains",
+                "_is_staying",
                 lambda member: member.is_present,
                 "kept",
                 LEAVE,
                 r"nobody announces t, \['a'\]",
             ),
-            (quorum.Consent, "given", True, "asked", {}, "2 at once$"),
-            (Mover, "_event", rash, "begun", {}, "nobody announces t"),
+            (quorum.VoteCount, "is_majority", True, "asked", {}, "2 at once$"),
+            (MigrationCoordinator, "_event", rash, "begun", {}, "nobody announces t"),
         ):
             with self.subTest(name), mock.patch.object(owner, name, instead):
                 why, path, _ = explore(PATHS[first], self.MOST, **left)
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -559,7 +559,7 @@
     logs.gauges.clear()
     services = [service_at(f"t{at:04}", standby=at >= 1023) for at in range(1030)]
     node.moving.change(0.0, Moves(act="move"), services)
-    places = cast(Any, node.moving.mover).places
+    places = cast(Any, node.moving.coordinator).tenant_states
 
     def told(what: str, at: float) -> str:
         """Its room, which of the seven it tells, how many it does not, and lines."""
@@ -571,9 +571,9 @@
         return f"{said['room']}/{seven}/{logs.gauges['node_tenants_untold']}/{len(lines)}"
 
     return SimpleNamespace(
-        told=told, full=lambda what, at: setattr(places[what], "level", Announced.FULL),
-        less=lambda what, at: setattr(places[what], "level", Announced.LESS),
-        on_way=lambda what, at: setattr(places[what], "on_way", bool(at)),
+        told=told, full=lambda what, at: setattr(places[what], "level", Announced.PREFERRED),
+        less=lambda what, at: setattr(places[what], "level", Announced.DEPREFERRED),
+        on_way=lambda what, at: setattr(places[what], "is_arriving", bool(at)),
         file=lambda what, at: setattr(node.moving, "own", (*node.moving.own, what)),
         shown=lambda what, at: len(node.moving.status(1.0)["holds"]), close=lambda what, at: node.close(),
     )  # fmt: skip
--- a/tests/test_simulated.py
+++ b/tests/test_simulated.py
@@ -15,7 +15,7 @@
 from fakes.simulated_migration import Moving, above, evenness
 from fakes.simulated_slow_start import BaselineProcess, Process
 from thymeyoke.affinity.controller import AffinityTable
-from thymeyoke.migration.quorum import Consent
+from thymeyoke.migration.quorum import VoteCount
 
 SMALL = Size(seed=3, servers=12, nodes=4, tenants=30, customers=600)
 MANY = Size(seed=3, servers=120)  # with fewer processes a peak over 0.1 s says nothing
@@ -130,11 +130,14 @@
         moving = Moving(1, 6, 90, TIGHT._replace(act="recommend"))
         moving.run(600.0)
         self.assertFalse(moving.begun)
-        self.assertTrue(any(one.mover.shown(600.0) for one in moving.carriers.values()))
+        self.assertTrue(any(one.coordinator.recommendations(600.0) for one in moving.carriers.values()))
 
     def test_without_quorum_a_guarantee_is_violated(self) -> None:
         terms = TERMS._replace(uneven=1.05, at_once=1, an_hour=3600, rest=1.0, settle=30.0)
-        with mock.patch.object(Consent, "given", property(lambda self: True)), self.assertRaises(Broken):
+        with (
+            mock.patch.object(VoteCount, "is_majority", property(lambda self: True)),
+            self.assertRaises(Broken),
+        ):
             for seed in range(3):
                 moves("moves-calm", Size(seed=seed, nodes=6, tenants=60), terms)
 
--- a/thymeyoke/migration/__init__.py
+++ b/thymeyoke/migration/__init__.py
@@ -1,1 +1,1 @@
-"""Which tenant should go to which node, and how far it is. docs/migration.md."""
+"""Migration of tenants between proxy nodes, recommended or carried out; see docs/migration.md."""
--- a/thymeyoke/migration/configuration.py
+++ b/thymeyoke/migration/configuration.py
@@ -1,4 +1,4 @@
-"""`[moves]` of the operators' file, as a typed value."""
+"""The section `[moves]` of the service configuration."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from thymeyoke.migration.load_ranges import Terms
 
 ACTS = ("recommend", "move")
-MINUTE = 60.0  # in which [announce] makes so many `changes`
+MINUTE = 60.0  # period to which `changes` of [announce] refers
 Span = Annotated[float, Meta(gt=0, le=86400, description="seconds, more than 0 and at most 86400")]
 
 
 class Moves(Struct, frozen=True):
-    """When a tenant should go to another node, and whether it does. Times in seconds."""
+    """When tenants should move to other nodes, and whether they do; times in seconds."""
 
     act: Annotated[str, Meta(description=f"one of {', '.join(ACTS)}")] = "recommend"
     uneven: Annotated[float, Meta(gt=1, le=100, description="a ratio, more than 1 and at most 100")] = 1.25
@@ -25,24 +25,26 @@
     an_hour: Annotated[int, Meta(ge=1, le=3600, description="a whole number from 1 to 3600")] = 12
     rest: Span = 300.0
     settle: Span = 60.0
-    # By other sections of the file:
+    # From other sections:
     period: float = 1.0  # of [members]
-    rise: float = 0.0  # until an address that was withdrawn is announced in full
+    rise: float = 0.0  # until a withdrawn address is announced with full preference again
 
     @property
     def terms(self) -> Terms:
+        """The settings for the coordinator."""
         return Terms(*(getattr(self, name) for name in Terms._fields))
 
     def lines(self) -> list[str]:
-        """For `check`: what is asked for."""
+        """Lines for `check` that describe the settings."""
         return [
             f"moves: {self.act}, past {self.uneven:g} of the mean, {self.at_once} at once and {self.an_hour} "
             f"an hour, rests {self.rest:g} s, settles {self.settle:g} s; "
-            f"a move takes {quorum.longest(self.terms):g} s at most"
+            f"a move takes {quorum.max_duration(self.terms):g} s at most"
         ]
 
 
 def read_settings(file: ConfigFile) -> Moves:
+    """Read and check the section."""
     for section in file.sections:
         if section.startswith("moves."):
             raise file.error(section, None, "no such section; give [moves] alone")
@@ -55,8 +57,11 @@
 
 
 def _around(raw: ConfigFile) -> dict[str, float]:
-    """How soon others hear of what a node does, and how long an address takes to come up: the shortest times
-    of a move follow from these, so that no `settle` is too short for one."""
+    """Settings of other sections that bound the duration of a move.
+
+    They determine how fast announcements spread and how long an address takes to come up; the minimum
+    timeouts of a move follow from them, so that no `settle` is too short.
+    """
     found = {}
     if "members" in raw.sections:
         found["period"] = members.read_settings(raw).period
@@ -64,5 +69,7 @@
         from thymeyoke.bgp.configuration import read_settings as announced
 
         told = announced(raw)
-        found["rise"] = told.settle + MINUTE / told.changes  # less preferred first; its budget may be spent
+        found["rise"] = (
+            told.settle + MINUTE / told.changes
+        )  # it is depreferred first, and its budget of changes may be used up
     return found
--- a/thymeyoke/migration/planner.py
+++ b/thymeyoke/migration/planner.py
@@ -1,13 +1,13 @@
-"""The fewest moves that bring every node under its bound: loads in, moves and advice out.
+"""Finds the fewest moves that bring every node under its bound: loads in, moves and advice out.
 
-Pure, and the same for the same loads: ties go by name, searches are bounded by steps, never by time. Loads
-are in connections (`loads.py`). A move takes its tenant's least load off the source and puts its most onto
-the target, so that error bars never bring a target over its bound.
+No I/O, and deterministic: ties are broken by name, and searches are limited by steps, never by time. Loads
+are in connections (`load_ranges.py`). A move takes its tenant's lower bound off the source and adds its upper
+bound to the target, so that uncertainty never brings a target over its bound.
 
-`greedy` is the baseline: the node furthest over first; the smallest tenant that suffices alone, else the
-largest that fits somewhere. `packed` first chooses, for each node, as few tenants as can suffice, and then
-packs all of them as tightly as it can. `fewest` takes the better, proves it the fewest by a lower bound, or
-searches for less.
+`greedy` is the baseline: it starts with the node furthest above its bound, and moves the smallest tenant that
+suffices alone, or else the largest that fits. `pack_tightly` first chooses the smallest sufficient set of
+tenants for each node and then packs all of them as tightly as possible. `fewest_moves` takes the better of
+both, proves it minimal by a lower bound, or searches for fewer moves.
 """
 
 from __future__ import annotations
@@ -17,70 +17,76 @@
 from typing import NamedTuple, Protocol
 
 from thymeyoke.migration.load_ranges import NOTHING, Loads, Node, Range, Tenant, Terms, mean
-from thymeyoke.migration.wire import pair
+from thymeyoke.migration.wire import pair_hash
 
-COLD = 1 / 8  # of a tenant's load: what a move costs, in seats looked up anew and caches that are cold
-STEPS = 2_000  # of the search: some 10 ms
-TRIES = 8  # of packing, and one for each two sources
+MOVE_COST_SHARE = 1 / 8  # of a tenant's load; cost of a move in reassigned clients and cold caches
+MAX_SEARCH_STEPS = 2_000  # about 10 ms
+EXTRA_PACKING_ATTEMPTS = 8  # plus one for every two sources
 
 
-class Step(NamedTuple):
-    """One move, and why. Loads in connections."""
+class Move(NamedTuple):
+    """One move and its effect; loads are in connections."""
 
     tenant: str
     source: str
     target: str
     load: Range
-    connections: int  # that stay behind until they close
-    opened: float  # a second: so fast come the others to the target, each with its seat kept
-    gain: float  # load over the bound that it takes off
+    connections: int  # that remain at the source until they close
+    opened: float  # connections per second that go to the target
+    gain: float  # load above the bound that it removes
     cost: float
 
 
-class Advice(NamedTuple):
-    """What no move can mend."""
+class CapacityAdvice(NamedTuple):
+    """An imbalance that no move can remove."""
 
     kind: str  # "split" or "room"
     node: str
     tenant: str
-    figure: float  # split: over so many nodes; room: connections that are missing
+    figure: float  # split: number of nodes; room: missing connections
     why: str
 
 
 class Plan(NamedTuple):
-    steps: tuple[Step, ...] = ()
-    advice: tuple[Advice, ...] = ()
+    """The recommended moves, advice, and the imbalance before and after."""
+
+    steps: tuple[Move, ...] = ()
+    advice: tuple[CapacityAdvice, ...] = ()
     mean: Range = NOTHING
     bound: float = 0.0
-    before: float = 0.0  # the most loaded node, of the mean
+    before: float = 0.0  # load of the most loaded node relative to the mean
     after: float = 0.0
-    proved: bool = True  # that fewer can't do
+    proved: bool = True  # whether no plan with fewer moves exists
 
 
 class TenantSet(Protocol):
-    """Tenants, of which only membership can be asked."""
+    """A set of tenants that only supports membership tests."""
 
     def __contains__(self, tenant: str, /) -> bool:
         """Whether a tenant is in the set."""
 
 
-class Allowed(NamedTuple):
-    """Which moves may be thought of. `takes`: by node, the tenants that it can hold. `busy`: nodes in a move
-    or resting. `still`: tenants on the way. `barred`: pairs of tenant and node, as `wire.pair` has them."""
+class MoveConstraints(NamedTuple):
+    """Which moves are permitted.
+
+    `takes`: the tenants that each node can hold. `busy`: nodes that take part in a move or cool down.
+    `moving_tenants`: tenants under way. `barred_pairs`: hashes of tenants and nodes, see `wire.pair_hash`.
+    """
 
     takes: Mapping[str, TenantSet]
     busy: frozenset[str] = frozenset()
-    still: frozenset[str] = frozenset()
-    barred: frozenset[bytes] = frozenset()
+    moving_tenants: frozenset[str] = frozenset()
+    barred_pairs: frozenset[bytes] = frozenset()
 
-    def may(self, tenant: str, target: str) -> bool:
+    def allows(self, tenant: str, target: str) -> bool:
+        """Whether a tenant may be moved to a node."""
         return tenant in self.takes.get(target, ()) and not (
-            self.barred and pair(tenant, target) in self.barred
+            self.barred_pairs and pair_hash(tenant, target) in self.barred_pairs
         )
 
 
-class Target:
-    """A node that takes, and what it still may."""
+class TargetNode:
+    """A node that can take tenants, and its remaining capacity."""
 
     __slots__ = ("gap", "holds", "name", "room")
 
@@ -89,45 +95,55 @@
         self.gap, self.room = bound - node.load.high, node.room
 
     def takes(self, tenant: Tenant) -> bool:
+        """Whether a tenant fits."""
         return tenant.load.high <= self.gap and tenant.connections <= self.room
 
     def put(self, tenant: Tenant, back: int = 1) -> None:
+        """Add a tenant, or remove it with `back=-1`."""
         self.gap -= back * tenant.load.high
         self.room -= back * tenant.connections
 
 
-class Source(NamedTuple):
-    """A node over its bound: what must go, and what could, the largest first, each with the targets that it
-    may go to."""
+class OverloadedNode(NamedTuple):
+    """A node above its bound and the load to remove.
+
+    It has the movable tenants, largest first, with their possible targets.
+    """
 
     name: str
     need: float
-    tenants: tuple[tuple[Tenant, tuple[Target, ...]], ...]
+    tenants: tuple[tuple[Tenant, tuple[TargetNode, ...]], ...]
 
 
-class Problem(NamedTuple):
-    sources: tuple[Source, ...]  # furthest over first
-    targets: tuple[Target, ...]
+class PackingProblem(NamedTuple):
+    """Overloaded nodes, possible targets, and the bound."""
+
+    sources: tuple[OverloadedNode, ...]  # largest excess first
+    targets: tuple[TargetNode, ...]
     bound: float
 
 
-Choice = tuple[int, Tenant, Target]  # of which source, what, where to
-Found = tuple[list[Choice], float]  # and what remains over the bounds
+Choice = tuple[int, Tenant, TargetNode]  # index of the source, tenant, target
+Solution = tuple[list[Choice], float]  # moves, and the load that remains above the bounds
+
 
+def target_load(node: Node, bound: float, terms: Terms, movable: Iterable[Tenant]) -> float:
+    """The load to which a node should be reduced.
 
-def goal(node: Node, bound: float, terms: Terms, movable: Iterable[Tenant]) -> float:
-    """What a node should come down to. Where one tenant alone is over the bound and can go nowhere, it is
-    measured by that one: the others may be a like part of it as of the mean."""
+    If a single tenant is above the bound and cannot be moved, that tenant is the measure: the node's other
+    tenants may exceed it in the same proportion as the mean.
+    """
     stuck = [one.load.mid for one in node.tenants if one.load.mid > bound and one not in movable]
     return max(bound, terms.uneven * max(stuck, default=0.0))
 
 
-def problem(loads: Loads, allowed: Allowed, terms: Terms) -> Problem:
+def build_problem(loads: Loads, allowed: MoveConstraints, terms: Terms) -> PackingProblem:
+    """Build the packing problem of the fleet."""
     bound = terms.uneven * loads.mean.mid
     over = [one for one in loads.nodes if one.load.low > terms.uneven * loads.mean.high]
     names = {one.name for one in over}
     targets = tuple(
-        Target(one, bound)
+        TargetNode(one, bound)
         for one in loads.nodes
         if one.name not in names and one.name not in allowed.busy and one.name in allowed.takes
     )
@@ -137,59 +153,62 @@
             continue
         could = []
         for tenant in node.tenants:
-            if tenant.name in allowed.still:
+            if tenant.name in allowed.moving_tenants:
                 continue
             name, high, connections = tenant.name, tenant.load.high, tenant.connections
             where = tuple(
                 target for target in targets
                 if high <= target.gap and connections <= target.room and name not in target.holds
-                and allowed.may(name, target.name)
+                and allowed.allows(name, target.name)
             )  # fmt: skip
             if where and tenant.load.low > 0:
                 could.append((tenant, where))
-        need = node.load.mid - goal(node, bound, terms, [tenant for tenant, _ in could])
+        need = node.load.mid - target_load(node, bound, terms, [tenant for tenant, _ in could])
         could = [(tenant, where) for tenant, where in could if _pays(tenant, need)]
         could.sort(key=lambda one: (-one[0].load.low, one[0].name))
         if need > 0:
-            sources.append(Source(node.name, need, tuple(could)))
+            sources.append(OverloadedNode(node.name, need, tuple(could)))
     sources.sort(key=lambda one: (-one.need, one.name))
-    return Problem(tuple(sources), targets, bound)
+    return PackingProblem(tuple(sources), targets, bound)
 
 
 def _pays(tenant: Tenant, need: float) -> bool:
-    """Whether a move takes more off than it costs."""
-    return min(tenant.load.low, need) > COLD * tenant.load.mid
+    """Whether a move removes more load than it costs."""
+    return min(tenant.load.low, need) > MOVE_COST_SHARE * tenant.load.mid
 
 
-def greedy(given: Problem) -> Found:
-    """Where the little that a node is still over would cost more than it gains, it may stay."""
+def greedy(problem: PackingProblem) -> Solution:
+    """Choose moves greedily; a small excess stays if moving it would cost more than it gains."""
     chosen: list[Choice] = []
     left = 0.0
-    for at, source in enumerate(given.sources):
+    for at, source in enumerate(problem.sources):
         need, gone = source.need, set[str]()
         while need > 0:
             there = [one for one in source.tenants if one[0].name not in gone]
             pays = [one for one in there if _pays(one[0], need)]
             enough = [one for one in reversed(pays) if one[0].load.low >= need]
-            found = _first(enough) or _first(pays)
+            found = _first_fit(enough) or _first_fit(pays)
             if found is None:
-                left += need if _first(there) is None else 0.0
+                left += need if _first_fit(there) is None else 0.0
                 break
             tenant, target = found
             target.put(tenant)
             gone.add(tenant.name)
             need -= tenant.load.low
             chosen.append((at, tenant, target))
-    _back(chosen)
+    _undo(chosen)
     return chosen, left
 
 
-def _first(tenants: Iterable[tuple[Tenant, tuple[Target, ...]]]) -> tuple[Tenant, Target] | None:
-    """The first that fits somewhere, and the target that has the most left, the first by name among those."""
+def _first_fit(tenants: Iterable[tuple[Tenant, tuple[TargetNode, ...]]]) -> tuple[Tenant, TargetNode] | None:
+    """The first tenant that fits anywhere, with the target that has the largest gap.
+
+    Among equal gaps the first by name is taken.
+    """
     for tenant, where in tenants:
         best = None
         high, connections = tenant.load.high, tenant.connections
-        for target in where:  # by name
+        for target in where:  # sorted by name
             if high <= target.gap and connections <= target.room and (best is None or target.gap > best.gap):
                 best = target
         if best is not None:
@@ -197,17 +216,19 @@
     return None
 
 
-def _back(chosen: list[Choice]) -> None:
+def _undo(chosen: list[Choice]) -> None:
     for _, tenant, target in chosen:
         target.put(tenant, -1)
 
 
-def least(given: Problem) -> int:
-    """No fewer moves can do: for each source, its largest tenants until they suffice."""
-    return sum(_least(source.need, [one.load.low for one, _ in source.tenants]) for source in given.sources)
+def lower_bound(problem: PackingProblem) -> int:
+    """A lower bound of the number of moves: the largest tenants of each source until they suffice."""
+    return sum(
+        _min_moves(source.need, [one.load.low for one, _ in source.tenants]) for source in problem.sources
+    )
 
 
-def _least(need: float, lows: list[float]) -> int:
+def _min_moves(need: float, lows: list[float]) -> int:
     lows = sorted(lows, reverse=True)
     many = 0
     while need > 0 and many < len(lows):
@@ -216,20 +237,25 @@
     return many
 
 
-def packed(given: Problem, large: bool) -> Found | None:
-    """Sets first, then where they go: the largest tenant first, into the least gap that takes it. A source
-    of which one finds no place gets a set of one more. Sources that can't come down far enough are left to
-    `greedy`. `large`: which tenants a set gives up for smaller ones first. None where that finds nothing."""
-    many = [_least(one.need, [tenant.load.low for tenant, _ in one.tenants]) for one in given.sources]
-    can = [_suffices(source, its) for source, its in zip(given.sources, many, strict=True)]
-    for _ in range(len(many) // 2 + TRIES):
-        if any(at > len(one.tenants) for at, one in zip(many, given.sources, strict=True)):
+def pack_tightly(problem: PackingProblem, large: bool) -> Solution | None:
+    """Choose sets of tenants first, then pack them: the largest first, into the smallest gap that fits.
+
+    If a tenant of a source does not fit, the source gets a set with one more tenant. Sources that cannot be
+    reduced far enough are left to `greedy`. `large` selects which tenants of a set are replaced by smaller
+    ones first. Returns None if nothing is found.
+    """
+    many = [_min_moves(one.need, [tenant.load.low for tenant, _ in one.tenants]) for one in problem.sources]
+    can = [_suffices(source, its) for source, its in zip(problem.sources, many, strict=True)]
+    for _ in range(len(many) // 2 + EXTRA_PACKING_ATTEMPTS):
+        if any(at > len(one.tenants) for at, one in zip(many, problem.sources, strict=True)):
             return None
         every = [
             (tenant, where, at)
-            for at, source in enumerate(given.sources)
+            for at, source in enumerate(problem.sources)
             if can[at]
-            for tenant, where in (source.tenants[index] for index in _chosen(source, many[at], large))
+            for tenant, where in (
+                source.tenants[index] for index in _smallest_sufficient_set(source, many[at], large)
+            )
         ]
         every.sort(key=lambda one: (-one[0].load.high, one[0].name))
         chosen: list[Choice] = []
@@ -243,25 +269,27 @@
             chosen.append((at, tenant, target))
         if over < 0:
             rest = [at for at, its in enumerate(can) if not its]
-            more, left = greedy(given._replace(sources=tuple(given.sources[at] for at in rest)))
-            _back(chosen)
+            more, left = greedy(problem._replace(sources=tuple(problem.sources[at] for at in rest)))
+            _undo(chosen)
             return [*chosen, *((rest[at], tenant, target) for at, tenant, target in more)], left
-        _back(chosen)
+        _undo(chosen)
         many[over] += 1
     return None
 
 
-def _gap(target: Target) -> tuple[float, str]:
+def _gap(target: TargetNode) -> tuple[float, str]:
     return target.gap, target.name
 
 
-def _suffices(source: Source, many: int) -> bool:
+def _suffices(source: OverloadedNode, many: int) -> bool:
     return sum(tenant.load.low for tenant, _ in source.tenants[:many]) >= source.need
 
 
-def _chosen(source: Source, many: int, large: bool) -> list[int]:
-    """So many tenants that suffice, and hardly more: the largest, each then given up for the smallest that
-    still does."""
+def _smallest_sufficient_set(source: OverloadedNode, many: int, large: bool) -> list[int]:
+    """Choose `many` tenants that suffice with little excess.
+
+    These are the largest, each then replaced by the smallest one that still suffices.
+    """
     lows = [tenant.load.low for tenant, _ in source.tenants]
     made = list(range(many))
     taken = set(made)
@@ -280,15 +308,17 @@
     return made
 
 
-def fewest(given: Problem, steps: int = STEPS) -> tuple[Found, bool]:
-    """The greedy moves, or fewer; and whether it is proved that fewer can't do. Where the greedy ones leave
-    something over a bound, also more of them that do."""
-    bottom = least(given)
-    chosen, left = greedy(given)
+def fewest_moves(problem: PackingProblem, steps: int = MAX_SEARCH_STEPS) -> tuple[Solution, bool]:
+    """The greedy moves or fewer, and whether fewer are proved to be impossible.
+
+    If the greedy moves leave an excess, also more moves that leave none.
+    """
+    bottom = lower_bound(problem)
+    chosen, left = greedy(problem)
     for large in (True, False):
         if left <= 0 and len(chosen) <= bottom:
             break
-        found = packed(given, large)
+        found = pack_tightly(problem, large)
         if found is None:
             break
         chosen, left = min((chosen, left), found, key=lambda one: (one[1], len(one[0])))
@@ -298,7 +328,7 @@
         return (chosen, left), True
     else:
         most = len(chosen) - 1
-    search = Search(given, steps)
+    search = MoveSearch(problem, steps)
     for many in range(bottom, most + 1):
         proven = search.within(many)
         if proven is not None:
@@ -308,37 +338,43 @@
     return (chosen, left), left <= 0 and search.left > 0
 
 
-class Search:
-    """Depth first, a number of moves at a time. `left` steps are to go; at none it gives up."""
+class MoveSearch:
+    """Depth-first search with a given number of moves; gives up when its `left` steps are used up."""
 
-    def __init__(self, given: Problem, steps: int) -> None:
-        self.given, self.left = given, steps
-        lows = [[tenant.load.low for tenant, _ in one.tenants] for one in given.sources]
-        self.least = [_least(one.need, its) for one, its in zip(given.sources, lows, strict=True)]
-        self.after = [sum(self.least[at + 1 :]) for at in range(len(lows))]  # moves that later sources need
-        self.sums = [_sums(its) for its in lows]
+    def __init__(self, problem: PackingProblem, steps: int) -> None:
+        self.problem, self.left = problem, steps
+        lows = [[tenant.load.low for tenant, _ in one.tenants] for one in problem.sources]
+        self.least = [_min_moves(one.need, its) for one, its in zip(problem.sources, lows, strict=True)]
+        self.after = [
+            sum(self.least[at + 1 :]) for at in range(len(lows))
+        ]  # minimum moves of the later sources
+        self.sums = [_prefix_sums(its) for its in lows]
         self.chosen: list[Choice] = []
 
     def within(self, many: int) -> list[Choice] | None:
+        """Find at most `many` moves that leave no excess."""
         self.chosen = []
         found = list(self.chosen) if self._go(0, self._need(0), 0, many) else None
-        _back(self.chosen)
+        _undo(self.chosen)
         return found
 
     def _need(self, at: int) -> float:
-        return self.given.sources[at].need if at < len(self.given.sources) else 0.0
+        return self.problem.sources[at].need if at < len(self.problem.sources) else 0.0
 
     def _go(self, at: int, need: float, first: int, many: int) -> bool:
-        """Whether source `at` gets rid of `need` with tenants from `first` on, and all later ones of theirs,
-        in `many` moves. What it chose stands in `chosen`, and is put on the targets."""
-        if at == len(self.given.sources):
+        """Whether sources from `at` on can remove their excess in `many` moves.
+
+        Source `at` still has to remove `need`, with tenants from index `first` on. The moves chosen are in
+        `chosen` and applied to the targets.
+        """
+        if at == len(self.problem.sources):
             return True
         if need <= 0:
             return self._go(at + 1, self._need(at + 1), 0, many)
         mine = many - self.after[at]
-        tenants, sums = self.given.sources[at].tenants, self.sums[at]
+        tenants, sums = self.problem.sources[at].tenants, self.sums[at]
         for index in range(first, len(tenants)):
-            # The largest that are left can't do it: nor can any others.
+            # If the largest remaining ones do not suffice, no others do.
             if mine <= 0 or sums[min(len(tenants), index + mine)] - sums[index] < need:
                 return False
             self.left -= 1
@@ -358,58 +394,58 @@
         return False
 
 
-def _sums(lows: list[float]) -> list[float]:
-    """Of the first so many, the largest."""
+def _prefix_sums(lows: list[float]) -> list[float]:
+    """Sums of the first n loads."""
     made = [0.0]
     for low in lows:
         made.append(made[-1] + low)
     return made
 
 
-def plan(loads: Loads, allowed: Allowed, terms: Terms, steps: int = STEPS) -> Plan:
-    """What should move, in the order in which it should. `steps=0`: the greedy moves."""
+def plan(loads: Loads, allowed: MoveConstraints, terms: Terms, steps: int = MAX_SEARCH_STEPS) -> Plan:
+    """The recommended moves, in the order in which to make them; `steps=0` returns the greedy moves."""
     if len(loads.nodes) < 2:
         return Plan(mean=loads.mean)
-    given = problem(loads, allowed, terms)
-    (chosen, left), proved = fewest(given, steps) if steps else (greedy(given), False)
-    made = _steps(given, chosen)
+    problem = build_problem(loads, allowed, terms)
+    (chosen, left), proved = fewest_moves(problem, steps) if steps else (greedy(problem), False)
+    made = _ordered_moves(problem, chosen)
     after = {one.name: one.load.mid for one in loads.nodes}
     for step in made:
         after[step.source] -= step.load.mid
         after[step.target] += step.load.mid
-    advice = _splits(loads, terms, given.bound)
+    advice = _split_advice(loads, terms, problem.bound)
     if left > 0:
-        advice += _missing(given, made, advice)
+        advice += _room_advice(problem, made, advice)
     whole = loads.mean.mid or 1.0
     return Plan(
-        made, tuple(advice), loads.mean, given.bound,
+        made, tuple(advice), loads.mean, problem.bound,
         max(one.load.mid for one in loads.nodes) / whole, max(after.values()) / whole, proved,
     )  # fmt: skip
 
 
-def _steps(given: Problem, chosen: list[Choice]) -> tuple[Step, ...]:
-    """In the order of what each gains over what it costs; those that gain less stay."""
-    needs = [source.need for source in given.sources]
+def _ordered_moves(problem: PackingProblem, chosen: list[Choice]) -> tuple[Move, ...]:
+    """Order moves by gain minus cost, and drop those that cost more than they gain."""
+    needs = [source.need for source in problem.sources]
     made = []
     for at, tenant, target in sorted(chosen, key=lambda one: (one[0], -one[1].load.low, one[1].name)):
         if not _pays(tenant, needs[at]):
             continue
         gain = min(tenant.load.low, needs[at])
         needs[at] -= tenant.load.low
-        made.append(Step(tenant.name, given.sources[at].name, target.name, tenant.load, tenant.connections,
-                         tenant.opened, gain, COLD * tenant.load.mid))  # fmt: skip
+        made.append(Move(tenant.name, problem.sources[at].name, target.name, tenant.load, tenant.connections,
+                         tenant.opened, gain, MOVE_COST_SHARE * tenant.load.mid))  # fmt: skip
     return tuple(sorted(made, key=lambda one: (one.cost - one.gain, one.source, one.tenant)))
 
 
-def _splits(loads: Loads, terms: Terms, bound: float) -> list[Advice]:
-    """Tenants so heavy that they alone are over the bound, whatever node holds them."""
+def _split_advice(loads: Loads, terms: Terms, bound: float) -> list[CapacityAdvice]:
+    """Advice for tenants that exceed the bound on their own, on whatever node."""
     found = []
     for node in loads.nodes:
         for tenant in node.tenants:
             if tenant.load.low <= terms.uneven * loads.mean.high:
                 continue
             many = max(2, ceil(tenant.load.mid / bound))
-            found.append(Advice(
+            found.append(CapacityAdvice(
                 "split", node.name, tenant.name, many,
                 f"{tenant.load.mid:.0f} connections alone, a node's bound is {bound:.0f}: split it by "
                 f"customer over {many} nodes",
@@ -417,37 +453,39 @@
     return found
 
 
-def _missing(given: Problem, made: tuple[Step, ...], splits: list[Advice]) -> list[Advice]:
-    """Sources that stay over their bound, and what the others lack to take it."""
+def _room_advice(
+    problem: PackingProblem, made: tuple[Move, ...], splits: list[CapacityAdvice]
+) -> list[CapacityAdvice]:
+    """Advice for sources that stay above their bound, and what the other nodes lack to take the excess."""
     off: dict[str, float] = {}
     for step in made:
         off[step.source] = off.get(step.source, 0.0) + step.load.low
-    gap = {one.name: one.gap for one in given.targets}
-    room = {one.name: float(one.room) for one in given.targets}
+    gap = {one.name: one.gap for one in problem.targets}
+    room = {one.name: float(one.room) for one in problem.targets}
     for step in made:
         gap[step.target] -= step.load.high
         room[step.target] -= step.connections
     free = sum(max(0.0, min(gap[name], room[name])) for name in gap)
     told = {one.node for one in splits}
     found = []
-    for source in given.sources:
+    for source in problem.sources:
         over = source.need - off.get(source.name, 0.0)
         if over <= 0 or (source.name in told and not source.tenants):
             continue
         lacks = max(0.0, over - free)
         why = (
-            f"{over:.0f} connections over its bound of {given.bound:.0f}, the others can take {free:.0f}: "
+            f"{over:.0f} connections over its bound of {problem.bound:.0f}, the others can take {free:.0f}: "
             f"{lacks:.0f} are missing"
             if lacks
-            else f"{over:.0f} connections over its bound of {given.bound:.0f}, and no tenant of it fits into "
-            f"what one of the others can take"
+            else f"{over:.0f} connections over its bound of {problem.bound:.0f}, and no tenant of it fits "
+            f"into what one of the others can take"
         )
-        found.append(Advice("room", source.name, "", lacks or over, why))
+        found.append(CapacityAdvice("room", source.name, "", lacks or over, why))
     return found
 
 
-def evenness(loads: Iterable[float]) -> float:
-    """The most loaded of the mean: 1 is even."""
+def peak_to_mean(loads: Iterable[float]) -> float:
+    """The highest load relative to the mean; 1 is perfectly balanced."""
     every = [Range(one, one, one) for one in loads]
     middle = mean(every).mid
     return max(one.mid for one in every) / middle if middle else 1.0
--- a/thymeyoke/migration/presentation.py
+++ b/thymeyoke/migration/presentation.py
@@ -1,6 +1,6 @@
-"""What `thymeyoke moves show` tells: a status that can go over the node's socket as JSON, and its tables.
+"""The output of `thymeyoke moves show`: a status that is sent over the node's socket as JSON, and its tables.
 
-Pure. `status` is made at the node, `tables` where the command runs.
+No I/O. `status` runs in the node, `tables` and `lines` where the command runs.
 """
 
 from __future__ import annotations
@@ -8,17 +8,17 @@
 from typing import Any
 
 from thymeyoke.migration import quorum
-from thymeyoke.migration.controller import Mover, Recommendation
-from thymeyoke.migration.planner import Advice
+from thymeyoke.migration.controller import MigrationCoordinator, Recommendation
+from thymeyoke.migration.planner import CapacityAdvice
 
 
-def status(mover: Mover, now: float) -> dict[str, Any]:
-    """All that is known here. Loads in connections, spans in seconds."""
-    middle, plan = mover.loads.mean.mid, mover.plan
+def status(coordinator: MigrationCoordinator, now: float) -> dict[str, Any]:
+    """All that this node knows; loads in connections, times in seconds."""
+    middle, plan = coordinator.loads.mean.mid, coordinator.plan
     return {
-        "node": mover.me,
-        "act": mover.terms.act,
-        "view": mover.view.version if mover.view else 0,
+        "node": coordinator.own_name,
+        "act": coordinator.terms.act,
+        "view": coordinator.view.version if coordinator.view else 0,
         "mean": round(middle, 1),
         "bound": round(plan.bound, 1),
         "uneven": round(plan.before, 3),
@@ -31,12 +31,12 @@
                 "of_mean": round(one.load.mid / middle, 3) if middle else 0.0,
                 "room": one.room, "tenants": len(one.holds),
             }
-            for one in mover.loads.nodes
+            for one in coordinator.loads.nodes
         ],
-        "unknown": dict(mover.loads.unknown),
-        "recommendations": [_recommendation(one) for one in mover.shown(now)],
-        "advice": [_advice(one) for one in mover.advice()],
-        "budget": _budget(mover, now),
+        "unknown": dict(coordinator.loads.unknown),
+        "recommendations": [_recommendation(one) for one in coordinator.recommendations(now)],
+        "advice": [_advice(one) for one in coordinator.capacity_advice()],
+        "budget": _budget(coordinator, now),
     }  # fmt: skip
 
 
@@ -49,38 +49,42 @@
     }  # fmt: skip
 
 
-def _advice(one: Advice) -> dict[str, Any]:
+def _advice(one: CapacityAdvice) -> dict[str, Any]:
     return {"kind": one.kind, "node": one.node, "tenant": one.tenant, "figure": round(one.figure, 1),
             "why": one.why}  # fmt: skip
 
 
-def _budget(mover: Mover, now: float) -> dict[str, Any]:
-    voter, many = mover.voter, quorum.slots(mover.terms, mover.said)
+def _budget(coordinator: MigrationCoordinator, now: float) -> dict[str, Any]:
+    voter, slot_count = coordinator.voter, quorum.slot_count(coordinator.terms, coordinator.announcements)
     slots = []
-    for slot in range(many):
-        one = voter.given.get(slot)
-        rests = max(0.0, voter.resting.get(slot, now) - now)
+    for slot in range(slot_count):
+        one = voter.granted.get(slot)
+        rests = max(0.0, voter.cooling_down.get(slot, now) - now)
         state = "given" if one else "rests" if rests else "free"
-        to = f"{one.ask.tenant} from {one.source} to {one.ask.target}" if one else ""
+        to = f"{one.request.tenant} from {one.source} to {one.request.target}" if one else ""
         slots.append({"slot": slot, "state": state, "to": to, "for": round(rests, 1)})
     return {
-        "at_once": many,
+        "at_once": slot_count,
         "slots": slots,
-        "spacing": round(quorum.spacing(mover.terms), 1),
-        "nodes": mover.known.many,
-        "majority": quorum.majority(mover.known.many),
-        "votes_in": round(max(0.0, voter.abstains_until(mover.terms, mover.said) - now), 1),
-        "rests": round(max(0.0, mover.rest_until - now), 1),
+        "spacing": round(quorum.slot_cool_down(coordinator.terms), 1),
+        "nodes": coordinator.known_nodes.count,
+        "majority": quorum.majority(coordinator.known_nodes.count),
+        "votes_in": round(
+            max(0.0, voter.abstains_until(coordinator.terms, coordinator.announcements) - now), 1
+        ),
+        "rests": round(max(0.0, coordinator.cool_down_until - now), 1),
         "no_vote": [
             {"from": source, "number": number, "why": why}
-            for (source, number), why in sorted(mover.against.items())
+            for (source, number), why in sorted(coordinator.refusals.items())
         ],
     }
 
 
 def tables(told: dict[str, Any]) -> list[list[list[str]]]:
-    """For people: nodes, recommendations, and where there is any, advice. The first row of each has the
-    titles; tables without rows are left out."""
+    """Tables for display: nodes, recommendations and advice.
+
+    The first row of each has the titles; empty tables are left out.
+    """
     nodes = [["NODE", "LOAD", "OF MEAN", "ROOM", "TENANTS"]]
     for one in told["nodes"]:
         spread = f" ({one['least']:.0f} to {one['most']:.0f})" if one["most"] - one["least"] >= 1 else ""
@@ -103,7 +107,7 @@
 
 
 def lines(told: dict[str, Any]) -> list[str]:
-    """Above the tables: what is allowed, and how uneven it is."""
+    """The lines above the tables: settings, and the present imbalance."""
     budget = told["budget"]
     told_act = "moves tenants" if told["act"] == "move" else "recommends, and moves nothing"
     votes = f", votes in {span(budget['votes_in'])}" if budget["votes_in"] else ""
@@ -121,6 +125,7 @@
 
 
 def span(seconds: float) -> str:
+    """A duration in words."""
     for unit, size in (("h", 3600), ("min", 60)):
         if seconds >= 2 * size:
             return f"{seconds / size:.0f} {unit}"
--- a/thymeyoke/migration/quorum.py
+++ b/thymeyoke/migration/quorum.py
@@ -1,8 +1,8 @@
-"""Who may begin a move: numbered slots, votes told in snapshots, a majority of all nodes that are known of.
+"""Quorum for migrations: numbered slots, votes carried in snapshots, and a majority of all known nodes.
 
-Pure. Two moves that are on their way in one slot would need two majorities, and any two share a voter; a
-voter gives a slot, and a tenant, to one move at a time. docs/migration.md has the rules, and what they can't
-do.
+No I/O. Two migrations under way in one slot would need two majorities, any two of which share a voter, and a
+voter grants a slot, and a tenant, to one migration at a time. docs/migration.md has the rules and their
+limits.
 """
 
 from __future__ import annotations
@@ -12,226 +12,276 @@
 
 from thymeyoke.membership.view import Member, State, Trust, View
 from thymeyoke.migration.load_ranges import Terms
-from thymeyoke.migration.wire import Ask, Part, Vote
+from thymeyoke.migration.wire import MigrationPart, MoveRequest, Vote
 
-ASK = 1 / 2  # of `settle`, at least: for so long an ask stands without a majority
-BEGIN = 1 / 2  # of `settle`, at least: for so long the target may take until it says that it holds the tenant
-# Periods of [members] from one node's decision to another's: until it looks and says so, until its next beat,
-# until the other one looks; a node looks once a period at least. And one more, for a snapshot that is lost.
-WAY = 4
-MARGIN = 1.25  # of the longest: a vote is held for so long, for the voter's clock may be that much faster
-DAY = 86400.0  # a node that is dead for so long does not count any more
-HOUR = 3600.0
+REQUEST_TIMEOUT_SHARE = 1 / 2  # of `settle`; minimum lifetime of a request without a majority
+BEGIN_TIMEOUT_SHARE = 1 / 2  # of `settle`; minimum time for the target to announce that it holds the tenant
+# Periods of [members] until another node has seen a decision: until it is made and published, until the next
+# snapshot, and until the other node's next view, plus one for a lost snapshot.
+PROPAGATION_PERIODS = 4
+CLOCK_MARGIN = 1.25  # a vote is held this much longer than a migration lasts, as clock rates differ
+SECONDS_PER_DAY = 86400.0  # after a day a dead node no longer counts
+SECONDS_PER_HOUR = 3600.0
 
 
-def asking(terms: Terms) -> float:
-    """Seconds that an ask stands: there and back at least, however short `settle` is."""
-    return max(ASK * terms.settle, 2 * WAY * terms.period)
+def request_timeout(terms: Terms) -> float:
+    """Seconds that a request stays open: at least one round trip, however short `settle` is."""
+    return max(REQUEST_TIMEOUT_SHARE * terms.settle, 2 * PROPAGATION_PERIODS * terms.period)
 
 
-def beginning(terms: Terms) -> float:
-    """Seconds that the target has: there, in full at the routers, and back at least."""
-    return max(BEGIN * terms.settle, 2 * WAY * terms.period + terms.rise)
+def begin_timeout(terms: Terms) -> float:
+    """Seconds that the target has to report that it holds the tenant.
 
+    At least a round trip and the time until its address is announced.
+    """
+    return max(BEGIN_TIMEOUT_SHARE * terms.settle, 2 * PROPAGATION_PERIODS * terms.period + terms.rise)
 
-def longest(terms: Terms) -> float:
-    """Seconds from asking to the end of a move: none is on its way for longer, by its source's own clock."""
-    return asking(terms) + beginning(terms) + terms.settle
 
+def max_duration(terms: Terms) -> float:
+    """Maximum seconds from the request to the end of a migration, by the clock of its source."""
+    return request_timeout(terms) + begin_timeout(terms) + terms.settle
 
-def spacing(terms: Terms) -> float:
-    """Seconds that a slot rests after a move: the rest, and what keeps the budget in time."""
-    return max(terms.rest, HOUR / max(1, terms.an_hour // min(terms.at_once, terms.an_hour)))
 
+def slot_cool_down(terms: Terms) -> float:
+    """Seconds that a slot is unused after a migration: the cool-down, or longer to keep the hourly budget."""
+    return max(terms.rest, SECONDS_PER_HOUR / max(1, terms.an_hour // min(terms.at_once, terms.an_hour)))
 
-def slots(terms: Terms, said: Mapping[str, Said]) -> int:
-    """How many moves at once: the smallest that anyone who is surely there tells."""
-    told = [one.part.at_once for one in said.values() if one.member.trust == Trust.SURE]
-    return min([terms.at_once, terms.an_hour, *told])
+
+def slot_count(terms: Terms, announcements: Mapping[str, NodeAnnouncement]) -> int:
+    """Number of concurrent moves: the smallest value configured at any node that is certainly present."""
+    values = [one.part.at_once for one in announcements.values() if one.member.trust == Trust.SURE]
+    return min([terms.at_once, terms.an_hour, *values])
 
 
 def majority(many: int) -> int:
+    """The smallest majority of `many` nodes."""
     return many // 2 + 1
 
 
-class Said(NamedTuple):
-    """A node, and what it says of moves."""
+class NodeAnnouncement(NamedTuple):
+    """A node and its announcement about migrations."""
 
     member: Member
-    part: Part
+    part: MigrationPart
 
     @property
     def incarnation(self) -> int:
+        """The node's incarnation."""
         return self.member.snapshot.incarnation
 
-    def lists(self, number: int) -> bool:
-        return any(ask.number == number for ask in self.part.asks)
+    def lists_request(self, number: int) -> bool:
+        """Whether the announcement contains the request with this number."""
+        return any(request.number == number for request in self.part.requests)
+
 
+class KnownNodes:
+    """All nodes that have been seen and still count towards a majority.
 
-class Known:
-    """All nodes that were ever seen, and still count. A name goes a longest move after its farewell (votes
-    that it gave are over by then), and after a day unseen; there are no more than the views had."""
+    A node is forgotten `hold` seconds after its farewell, when the votes that it granted have expired, and
+    after a day without being seen. There are never more than the views contained.
+    """
 
     def __init__(self) -> None:
-        self.there: dict[str, float] = {}  # when it was last there
-        self.left: dict[str, float] = {}  # when its farewell was first seen
+        self.last_present_at: dict[str, float] = {}  # by name
+        self.left_at: dict[str, float] = {}  # by name; when the farewell was first seen
 
-    def saw(self, now: float, view: View, hold: float) -> None:
+    def observe(self, now: float, view: View, hold: float) -> None:
+        """Update from a view; `hold` is the time in seconds for which a node counts after its farewell."""
         for member in view.nodes():
             if member.snapshot.state == State.GONE:
-                if member.name in self.there:
-                    self.left.setdefault(member.name, now)
+                if member.name in self.last_present_at:
+                    self.left_at.setdefault(member.name, now)
                 continue
-            self.left.pop(member.name, None)
+            self.left_at.pop(member.name, None)
             if member.is_present:
-                self.there[member.name] = now
+                self.last_present_at[member.name] = now
             else:
-                self.there.setdefault(member.name, now)
-        over = [name for name, at in self.left.items() if now >= at + hold]
-        over += [name for name, at in self.there.items() if now >= at + DAY]
+                self.last_present_at.setdefault(member.name, now)
+        over = [name for name, at in self.left_at.items() if now >= at + hold]
+        over += [name for name, at in self.last_present_at.items() if now >= at + SECONDS_PER_DAY]
         for name in over:
-            self.there.pop(name, None)
-            self.left.pop(name, None)
+            self.last_present_at.pop(name, None)
+            self.left_at.pop(name, None)
 
     @property
-    def many(self) -> int:
-        return len(self.there)
+    def count(self) -> int:
+        """Number of nodes."""
+        return len(self.last_present_at)
 
 
-class Given(NamedTuple):
-    """A vote, and what it was for. It ends at `until` whatever is heard."""
+class GrantedVote(NamedTuple):
+    """A vote and the request that it was granted to; it expires at `expires_at` in any case."""
 
-    ask: Ask
+    request: MoveRequest
     source: str
     incarnation: int
-    until: float
+    expires_at: float
 
     @property
     def vote(self) -> Vote:
-        return Vote(self.ask.slot, self.source, self.incarnation, self.ask.number)
+        """The vote as announced to other nodes."""
+        return Vote(self.request.slot, self.source, self.incarnation, self.request.number)
 
-    def same(self, source: str, incarnation: int, number: int) -> bool:
-        return (self.source, self.incarnation, self.ask.number) == (source, incarnation, number)
+    def is_for(self, source: str, incarnation: int, number: int) -> bool:
+        """Whether the vote was granted to this request."""
+        return (self.source, self.incarnation, self.request.number) == (source, incarnation, number)
 
 
 class Voter:
-    """This node's votes. At most one a slot; a slot's goes with the end of its move, or with its time."""
+    """The votes of this node, at most one for each slot; a vote ends with its move or when it expires."""
 
     def __init__(self, now: float) -> None:
-        self.born = now
-        self.given: dict[int, Given] = {}
-        self.resting: dict[int, float] = {}  # slots that are not given before; at most one entry a slot
+        self.created_at = now
+        self.granted: dict[int, GrantedVote] = {}
+        self.cooling_down: dict[int, float] = {}  # by slot: until when it is not granted
 
-    def abstains_until(self, terms: Terms, said: Mapping[str, Said]) -> float:
-        """A life that is new may have forgotten its votes: it gives none until those are over, and the slots
-        have rested."""
-        told = [one.part.longest for one in said.values()]
-        return self.born + MARGIN * max([longest(terms), *told]) + spacing(terms)
+    def abstains_until(self, terms: Terms, announcements: Mapping[str, NodeAnnouncement]) -> float:
+        """The time until which this node grants no votes.
+
+        A new incarnation may have forgotten its votes, so it waits until these have expired and the slots
+        have cooled down.
+        """
+        values = [one.part.max_duration for one in announcements.values()]
+        return self.created_at + CLOCK_MARGIN * max([max_duration(terms), *values]) + slot_cool_down(terms)
 
     def release(
-        self, now: float, said: Mapping[str, Said], members: Mapping[str, Member], terms: Terms
+        self,
+        now: float,
+        announcements: Mapping[str, NodeAnnouncement],
+        members: Mapping[str, Member],
+        terms: Terms,
     ) -> None:
-        for slot, one in list(self.given.items()):
-            began = _over(now, one, said.get(one.source), members.get(one.source))
+        """Release the votes of migrations that have ended, and start the cool-down of their slots."""
+        for slot, one in list(self.granted.items()):
+            began = _may_have_begun(now, one, announcements.get(one.source), members.get(one.source))
             if began is None:
                 continue
-            del self.given[slot]
+            del self.granted[slot]
             if began:
-                self.resting[slot] = now + spacing(terms)
-        for slot in [slot for slot, until in self.resting.items() if now >= until]:
-            del self.resting[slot]
-
-    def free(self, many: int) -> list[int]:
-        return [slot for slot in range(many) if slot not in self.given and slot not in self.resting]
-
-    def give(
-        self, now: float, terms: Terms, said: Mapping[str, Said], accepts: Callable[[str, Ask], str | None],
+                self.cooling_down[slot] = now + slot_cool_down(terms)
+        for slot in [slot for slot, until in self.cooling_down.items() if now >= until]:
+            del self.cooling_down[slot]
+
+    def free_slots(self, many: int) -> list[int]:
+        """Slots below `many` that are neither granted nor cooling down."""
+        return [slot for slot in range(many) if slot not in self.granted and slot not in self.cooling_down]
+
+    def grant(
+        self,
+        now: float,
+        terms: Terms,
+        announcements: Mapping[str, NodeAnnouncement],
+        accepts: Callable[[str, MoveRequest], str | None],
         fits: Callable[[Vote], bool],
-    ) -> dict[tuple[str, int], str]:  # fmt: skip
-        """Votes for the asks that are seen, those that gain most first. Hands back why others got none."""
+    ) -> dict[tuple[str, int], str]:
+        """Grant votes for open requests, largest gain first; return the reasons for refusals."""
         none: dict[tuple[str, int], str] = {}
-        asks = [(name, ask) for name, one in said.items() for ask in one.part.asks]
-        many = slots(terms, said)
-        early = now < self.abstains_until(terms, said)
-        for name, ask in sorted(asks, key=lambda one: (-one[1].gain, one[0], one[1].number)):
-            one = said[name]
-            if ask.begun or any(it.same(name, one.incarnation, ask.number) for it in self.given.values()):
+        requests = [(name, request) for name, one in announcements.items() for request in one.part.requests]
+        many = slot_count(terms, announcements)
+        early = now < self.abstains_until(terms, announcements)
+        for name, request in sorted(requests, key=lambda one: (-one[1].gain, one[0], one[1].number)):
+            one = announcements[name]
+            if request.begun or any(
+                it.is_for(name, one.incarnation, request.number) for it in self.granted.values()
+            ):
                 continue
-            why = "votes only once its former life's votes are over" if early else (
-                self._against(name, ask, one, asks, many) or accepts(name, ask))  # fmt: skip
-            vote = Vote(ask.slot, name, one.incarnation, ask.number)
-            if not why and not fits(vote):
-                why = "has no space for more votes"
-            if why:
-                none[name, ask.number] = why
+            reason = (
+                "abstains until votes of its former incarnation have expired"
+                if early
+                else (self._refusal_reason(name, request, one, requests, many) or accepts(name, request))
+            )
+            vote = Vote(request.slot, name, one.incarnation, request.number)
+            if not reason and not fits(vote):
+                reason = "has no space to announce more votes"
+            if reason:
+                none[name, request.number] = reason
                 continue
-            until = now + MARGIN * max(longest(terms), one.part.longest)
-            self.given[ask.slot] = Given(ask, name, one.incarnation, until)
+            until = now + CLOCK_MARGIN * max(max_duration(terms), one.part.max_duration)
+            self.granted[request.slot] = GrantedVote(request, name, one.incarnation, until)
         return none
 
-    def _against(
-        self, source: str, ask: Ask, one: Said, asks: Iterable[tuple[str, Ask]], many: int
+    def _refusal_reason(
+        self,
+        source: str,
+        request: MoveRequest,
+        one: NodeAnnouncement,
+        requests: Iterable[tuple[str, MoveRequest]],
+        many: int,
     ) -> str | None:
         if one.member.trust != Trust.SURE or one.member.snapshot.state != State.SERVING:
             return f"is not sure of {source}"
-        if ask.tenant not in one.member.snapshot.holds:
-            return f"does not see that {source} holds {ask.tenant}"
-        if ask.slot >= many:
-            return f"knows of {many} at once"
-        if ask.slot in self.given:
-            return f"gave slot {ask.slot} to {self.given[ask.slot].source}"
-        if ask.slot in self.resting:
-            return f"lets slot {ask.slot} rest"
-        if any(it.ask.tenant == ask.tenant for it in self.given.values()):
-            return f"gave {ask.tenant} to another move"
-        for other, it in asks:
-            if it.begun and (it.slot == ask.slot or it.tenant == ask.tenant) and (
-                (other, it.number) != (source, ask.number)):  # fmt: skip
-                return f"sees a move of {other} under way"
+        if request.tenant not in one.member.snapshot.holds:
+            return f"does not see that {source} holds {request.tenant}"
+        if request.slot >= many:
+            return f"allows {many} at once"
+        if request.slot in self.granted:
+            return f"has granted slot {request.slot} to {self.granted[request.slot].source}"
+        if request.slot in self.cooling_down:
+            return f"slot {request.slot} is cooling down"
+        if any(it.request.tenant == request.tenant for it in self.granted.values()):
+            return f"has granted {request.tenant} to another migration"
+        for other, it in requests:
+            if it.begun and (it.slot == request.slot or it.tenant == request.tenant) and (
+                (other, it.number) != (source, request.number)):  # fmt: skip
+                return f"sees a migration of {other} under way"
         return None
 
 
-def _over(now: float, one: Given, said: Said | None, member: Member | None) -> bool | None:
-    """None while the vote is held; else whether its move may have begun."""
-    if now >= one.until:
+def _may_have_begun(
+    now: float, one: GrantedVote, announcement: NodeAnnouncement | None, member: Member | None
+) -> bool | None:
+    """None while the vote is held; otherwise whether its migration may have begun."""
+    if now >= one.expires_at:
         return True
     if member is None:
         return None
-    life = member.snapshot.incarnation
-    if life != one.incarnation:  # views never go back to an older life; what the new one holds may come later
-        return None if said is None and member.is_present else True
+    incarnation = member.snapshot.incarnation
+    if incarnation != one.incarnation:  # views never return to an older incarnation
+        return None if announcement is None and member.is_present else True
     if member.snapshot.state == State.GONE:
         return True
-    if said is None or said.lists(one.ask.number):
+    if announcement is None or announcement.lists_request(one.request.number):
         return None
-    return one.ask.number not in said.part.dropped
+    return one.request.number not in announcement.part.dropped
+
 
+class VoteCount(NamedTuple):
+    """The votes for a request, and how many it needs."""
 
-class Consent(NamedTuple):
     votes: tuple[str, ...]
-    need: int
-    target: bool  # whether it is among them
+    needed: int
+    has_target_vote: bool  # whether one of the votes is the target's
 
     @property
-    def given(self) -> bool:
-        return self.target and len(self.votes) >= self.need
+    def is_majority(self) -> bool:
+        """Whether the request has a majority that includes its target."""
+        return self.has_target_vote and len(self.votes) >= self.needed
 
     @property
     def text(self) -> str:
-        target = "" if self.target else ", none of the target's"
-        return f"{len(self.votes)} of {self.need} votes{target}"
-
-
-def count(
-    vote: Vote, target: str, me: str, own: Iterable[Given], known: int, said: Mapping[str, Said]
-) -> Consent:
-    """Votes for this node's ask. A majority of all nodes that this one, or any voter that is counted, knows
-    of: whoever has seen more of the fleet is believed."""
+        """The count in words."""
+        target = "" if self.has_target_vote else ", none of the target's"
+        return f"{len(self.votes)} of {self.needed} votes{target}"
+
+
+def count_votes(
+    vote: Vote,
+    target: str,
+    own_name: str,
+    own: Iterable[GrantedVote],
+    known: int,
+    announcements: Mapping[str, NodeAnnouncement],
+) -> VoteCount:
+    """Count the votes for a request of this node.
+
+    The majority is one of the largest number of nodes known to this node or to any voter that is counted: a
+    voter that has seen more of the fleet is believed.
+    """
     votes, most = [], known
-    if any(one.same(me, vote.incarnation, vote.number) for one in own):
-        votes.append(me)
-    for name, one in said.items():
-        if name != me and one.member.is_present and vote in one.part.votes:
+    if any(one.is_for(own_name, vote.incarnation, vote.number) for one in own):
+        votes.append(own_name)
+    for name, one in announcements.items():
+        if name != own_name and one.member.is_present and vote in one.part.votes:
             votes.append(name)
-            most = max(most, one.part.known)
-    return Consent(tuple(sorted(votes)), majority(most), target in votes)
+            most = max(most, one.part.known_node_count)
+    return VoteCount(tuple(sorted(votes)), majority(most), target in votes)
--- a/thymeyoke/migration/wire.py
+++ b/thymeyoke/migration/wire.py
@@ -1,8 +1,8 @@
-"""What a node says of moves in its own snapshot, `parts["moves"]`: bytes and typed value.
+"""The codec of a node's announcement about migrations, `parts["moves"]` in its snapshot.
 
-Pure. MessagePack, at most `PART_MOST` bytes. Newer versions are read as far as they are known: unknown
-fields are passed over. What can't be read is a `Bad`, never an exception. What has no space is left out in
-the order that docs/migration.md tells, and told in a later snapshot.
+No I/O. MessagePack, at most `MAX_PART_BYTES`. Unknown fields of newer versions are ignored. Data that cannot
+be decoded is returned as `InvalidPart`, never raised. Entries without space are left out in the order given
+in docs/migration.md, and sent in a later snapshot.
 """
 
 from __future__ import annotations
@@ -17,34 +17,34 @@
 from thymeyoke.membership.view import MAX_NAME_LENGTH
 
 VERSION = 1
-PART_MOST = 2048  # bytes
-CAN_MOST = 1024  # bytes of the tenants that a node can hold: 1,000 of them are taken for another one in 45
-CAN_BITS = 8  # a tenant, while there is space
-HASHES = 4
-PAIR = 4  # bytes of a barred pair
-DROPPED = 8  # asks that were given up, the last ones
+MAX_PART_BYTES = 2048  # bytes
+MAX_FILTER_BYTES = 1024  # with 1,000 tenants 1 in 45 others is a false positive
+FILTER_BITS_PER_TENANT = 8  # while there is space
+HASH_COUNT = 4
+PAIR_BYTES = 4
+MAX_DROPPED_NUMBERS = 8  # the latest requests that were dropped
 
 Name = Annotated[str, Meta(max_length=MAX_NAME_LENGTH)]
 Number = Annotated[int, Meta(ge=0, lt=1 << 53)]
 Seconds = Annotated[float, Meta(ge=0, le=86400 * 4)]
 
 
-class Ask(Struct, frozen=True, array_like=True):
-    """A move that its source wants consent for, or that has begun."""
+class MoveRequest(Struct, frozen=True, array_like=True):
+    """A migration for which its source requests votes, or that has begun."""
 
     slot: Annotated[int, Meta(ge=0, lt=64)]
-    number: Number  # of this ask, by its source in this life
+    number: Number  # of this request, unique in the source's incarnation
     tenant: Name
     target: Name
-    home: Name  # whose operators' file gave the tenant first
-    stamp: Number  # that the target will hold it by
+    home: Name  # the node that holds the tenant by configuration
+    stamp: Number  # with which the target will hold it
     begun: bool = False
-    gain: Annotated[float, Meta(ge=0, lt=1e12)] = 0.0  # connections, for the order of votes
+    gain: Annotated[float, Meta(ge=0, lt=1e12)] = 0.0  # in connections; votes are granted in this order
     settling: bool = False
 
 
 class Vote(Struct, frozen=True, array_like=True):
-    """One slot, given to one ask."""
+    """A slot granted to one request."""
 
     slot: Annotated[int, Meta(ge=0, lt=64)]
     source: Name
@@ -52,103 +52,118 @@
     number: Number
 
 
-class Hold(Struct, frozen=True, array_like=True):
-    """A tenant that is held by a move. The higher stamp of one home keeps it."""
+class HeldTenant(Struct, frozen=True, array_like=True):
+    """A tenant held through a migration; among holders with the same home the higher stamp wins."""
 
     tenant: Name
     home: Name
     stamp: Number
 
 
-class Part(Struct, frozen=True, omit_defaults=True):
-    """`can`: see `Can`. `barred`: pairs of tenant and node that no move may bring together, by `pair`."""
+class MigrationPart(Struct, frozen=True, omit_defaults=True):
+    """A node's announcement.
+
+    `eligible` is a `TenantFilter`; `barred_pairs` are hashes of tenants and nodes that no move may bring
+    together, see `pair_hash`.
+    """
 
     version: Annotated[int, Meta(ge=1, lt=1 << 16)] = msgspec.field(name="v", default=VERSION)
-    moves: bool = msgspec.field(name="m", default=False)  # the operators let it move
+    moves: bool = msgspec.field(name="m", default=False)  # whether the operators permit migrations
     at_once: Annotated[int, Meta(ge=1, le=1 << 16)] = msgspec.field(name="a", default=1)
-    longest: Seconds = msgspec.field(name="l", default=0.0)  # that a move of its own takes
-    known: Annotated[int, Meta(ge=0, le=1 << 16)] = msgspec.field(name="k", default=0)  # nodes, the dead too
-    resting: Seconds = msgspec.field(name="r", default=0.0)  # it takes part in no move for so long
-    can: Annotated[bytes, Meta(max_length=CAN_MOST)] = msgspec.field(name="c", default=b"")
-    asks: tuple[Ask, ...] = msgspec.field(name="s", default=())
+    max_duration: Seconds = msgspec.field(name="l", default=0.0)  # longest possible migration of this node
+    known_node_count: Annotated[int, Meta(ge=0, le=1 << 16)] = msgspec.field(
+        name="k", default=0
+    )  # including dead ones
+    resting: Seconds = msgspec.field(name="r", default=0.0)  # remaining seconds of its cool-down
+    eligible: Annotated[bytes, Meta(max_length=MAX_FILTER_BYTES)] = msgspec.field(name="c", default=b"")
+    requests: tuple[MoveRequest, ...] = msgspec.field(name="s", default=())
     dropped: tuple[Number, ...] = msgspec.field(name="d", default=())
     votes: tuple[Vote, ...] = msgspec.field(name="t", default=())
-    by: tuple[Hold, ...] = msgspec.field(name="b", default=())
-    barred: Annotated[bytes, Meta(max_length=PART_MOST)] = msgspec.field(name="n", default=b"")
+    held_tenants: tuple[HeldTenant, ...] = msgspec.field(name="b", default=())
+    barred_pairs: Annotated[bytes, Meta(max_length=MAX_PART_BYTES)] = msgspec.field(name="n", default=b"")
 
 
-class Bad(NamedTuple):
-    """What can't be read, and why."""
+class InvalidPart(NamedTuple):
+    """Data that could not be decoded, and the reason."""
 
-    why: str
+    reason: str
 
 
-NONE = Part()
+NONE = MigrationPart()
 _encoder = msgspec.msgpack.Encoder()
-_decoder = msgspec.msgpack.Decoder(Part)
+_decoder = msgspec.msgpack.Decoder(MigrationPart)
 
 
-def read(data: bytes) -> Part | Bad:
-    if len(data) > PART_MOST:
-        return Bad(f"{len(data)} bytes, over {PART_MOST}")
+def decode(data: bytes) -> MigrationPart | InvalidPart:
+    """Decode an announcement."""
+    if len(data) > MAX_PART_BYTES:
+        return InvalidPart(f"{len(data)} bytes, over {MAX_PART_BYTES}")
     try:
         part = _decoder.decode(data)
     except (msgspec.DecodeError, RecursionError, UnicodeDecodeError) as error:
-        return Bad(str(error)[:100])
-    if len(part.barred) % PAIR:
-        return Bad("half a barred pair")
-    if not all(map(isfinite, (part.longest, part.resting, *(ask.gain for ask in part.asks)))):
-        return Bad("a figure is no number")
+        return InvalidPart(str(error)[:100])
+    if len(part.barred_pairs) % PAIR_BYTES:
+        return InvalidPart(f"barred pairs are not a multiple of {PAIR_BYTES} bytes")
+    if not all(map(isfinite, (part.max_duration, part.resting, *(ask.gain for ask in part.requests)))):
+        return InvalidPart("a number is not finite")
     return part
 
 
-def size(part: Part) -> int:
-    """Bytes."""
+def encoded_size(part: MigrationPart) -> int:
+    """Size in bytes."""
     return len(_encoder.encode(part))
 
 
-def pack(part: Part) -> bytes:
-    """At most PART_MOST bytes. Asks and votes always have their space: whoever gives one has looked (`fits`).
-    Left out first: barred pairs, the last ones, as many as need be; then holds."""
+def encode(part: MigrationPart) -> bytes:
+    """Encode an announcement in at most MAX_PART_BYTES.
+
+    Requests and votes always fit, as they are checked with `fits` beforehand. Barred pairs are left out
+    first, as many as necessary from the end, then held tenants.
+    """
     data = _encoder.encode(part)
-    if (over := len(data) - PART_MOST) > 0 and part.barred:
-        kept = max(0, len(part.barred) - over) // PAIR * PAIR
-        part = msgspec.structs.replace(part, barred=part.barred[:kept])
+    if (over := len(data) - MAX_PART_BYTES) > 0 and part.barred_pairs:
+        kept = max(0, len(part.barred_pairs) - over) // PAIR_BYTES * PAIR_BYTES
+        part = msgspec.structs.replace(part, barred_pairs=part.barred_pairs[:kept])
         data = _encoder.encode(part)
-    while len(data) > PART_MOST and part.by:
-        part = msgspec.structs.replace(part, by=part.by[: len(part.by) // 2])
+    while len(data) > MAX_PART_BYTES and part.held_tenants:
+        part = msgspec.structs.replace(part, held_tenants=part.held_tenants[: len(part.held_tenants) // 2])
         data = _encoder.encode(part)
     return data
 
 
-def fits(part: Part) -> bool:
-    """Whether asks and votes have their space, whatever else there is."""
-    return size(msgspec.structs.replace(part, by=(), barred=b"")) <= PART_MOST
+def fits(part: MigrationPart) -> bool:
+    """Whether requests and votes fit, whatever else the announcement contains."""
+    return encoded_size(msgspec.structs.replace(part, held_tenants=(), barred_pairs=b"")) <= MAX_PART_BYTES
+
 
+def pair_hash(tenant: str, node: str) -> bytes:
+    """The hash of a barred pair, PAIR_BYTES long; two pairs collide with one chance in four billion."""
+    return blake2b(f"{tenant}\0{node}".encode("utf-8", "surrogatepass"), digest_size=PAIR_BYTES).digest()
 
-def pair(tenant: str, node: str) -> bytes:
-    """A barred pair, in PAIR bytes. Two pairs that look alike bar each other: one in four billion."""
-    return blake2b(f"{tenant}\0{node}".encode("utf-8", "surrogatepass"), digest_size=PAIR).digest()
 
+def pair_hashes(barred_pairs: bytes) -> frozenset[bytes]:
+    """Split concatenated hashes of barred pairs."""
+    return frozenset(barred_pairs[at : at + PAIR_BYTES] for at in range(0, len(barred_pairs), PAIR_BYTES))
 
-def pairs(barred: bytes) -> frozenset[bytes]:
-    return frozenset(barred[at : at + PAIR] for at in range(0, len(barred), PAIR))
 
+class TenantFilter:
+    """The tenants that a node can hold, as a Bloom filter.
 
-class Can:
-    """The tenants that a node can hold, as a Bloom filter: no tenant is missed; past CAN_MOST * 8 / CAN_BITS
-    tenants more and more others pass, and the target itself, who knows, gives no vote."""
+    It has no false negatives. Beyond MAX_FILTER_BYTES * 8 / FILTER_BITS_PER_TENANT tenants there are more and
+    more false positives; then the target, which knows its tenants, grants no vote.
+    """
 
     def __init__(self, bits: bytes = b"") -> None:
         self.bits = bits
-        self.found: dict[str, bool] = {}  # by tenant that was asked for; lives as long as one plan
+        self.found: dict[str, bool] = {}  # cache by tenant; lives as long as one plan
 
     @classmethod
-    def of(cls, tenants: frozenset[str]) -> Can:
-        many = min(CAN_MOST, ceil(len(tenants) * CAN_BITS / 8))
+    def build(cls, tenants: frozenset[str]) -> TenantFilter:
+        """Build the filter of a set of tenants."""
+        many = min(MAX_FILTER_BYTES, ceil(len(tenants) * FILTER_BITS_PER_TENANT / 8))
         bits = bytearray(many)
         for tenant in tenants:
-            for place in _places(tenant, many * 8):
+            for place in _bit_positions(tenant, many * 8):
                 bits[place >> 3] |= 1 << (place & 7)
         return cls(bytes(bits))
 
@@ -156,11 +171,12 @@
         found = self.found.get(tenant)
         if found is None:
             found = self.found[tenant] = bool(self.bits) and all(
-                self.bits[place >> 3] & 1 << (place & 7) for place in _places(tenant, len(self.bits) * 8)
+                self.bits[place >> 3] & 1 << (place & 7)
+                for place in _bit_positions(tenant, len(self.bits) * 8)
             )
         return found
 
 
-def _places(tenant: str, many: int) -> list[int]:
-    digest = blake2b(tenant.encode("utf-8", "surrogatepass"), digest_size=4 * HASHES).digest()
-    return [int.from_bytes(digest[at : at + 4], "big") % many for at in range(0, 4 * HASHES, 4)]
+def _bit_positions(tenant: str, many: int) -> list[int]:
+    digest = blake2b(tenant.encode("utf-8", "surrogatepass"), digest_size=4 * HASH_COUNT).digest()
+    return [int.from_bytes(digest[at : at + 4], "big") % many for at in range(0, 4 * HASH_COUNT, 4)]
--- a/thymeyoke/proxy/migration_adapter.py
+++ b/thymeyoke/proxy/migration_adapter.py
@@ -1,5 +1,7 @@
-"""Which tenants this node holds, and how high it announces their addresses: by the operators' file, and by
-moves where the file has `[moves]`. No I/O; `moves` is loaded only then."""
+"""Which tenants this node holds, and how it announces their addresses: by configuration, and by migrations.
+
+No I/O. The migration package is imported only if the configuration has `[moves]`.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +15,7 @@
 
 if TYPE_CHECKING:
     from thymeyoke.migration.configuration import Moves
-    from thymeyoke.migration.controller import Mover
+    from thymeyoke.migration.controller import MigrationCoordinator
 
 
 class Moving:
@@ -23,7 +25,7 @@
         self.me = me
         self.low: dict[str, str] = {}  # as long as the file has the tenant
         self.rising: set[str] = set()  # brought by a move, and not yet announced in full
-        self.mover: Mover | None = None
+        self.coordinator: MigrationCoordinator | None = None
         self.own: tuple[str, ...] = ()
         self.told: frozenset[str] = frozenset()  # by the last snapshot, MAX_HELD_TENANTS of them
         self.untold: frozenset[str] = frozenset()  # held besides
@@ -36,17 +38,20 @@
         self.own = tuple(sorted(one.tenant for one in there if not one.standby))
         can, own = frozenset(one.tenant for one in there), frozenset(self.own)
         if told is None:
-            self.mover, self.low = None, dict.fromkeys(can - own, "withdrawn")
+            self.coordinator, self.low = None, dict.fromkeys(can - own, "withdrawn")
             return
-        from thymeyoke.migration.controller import Mover
+        from thymeyoke.migration.controller import MigrationCoordinator
 
         terms = told.terms
-        if self.mover is None:
-            self.mover, self.low = Mover(now, self.me, terms, can, own), dict.fromkeys(can - own, "withdrawn")
+        if self.coordinator is None:
+            self.coordinator, self.low = (
+                MigrationCoordinator(now, self.me, terms, can, own),
+                dict.fromkeys(can - own, "withdrawn"),
+            )
         else:
-            for tenant in can - own - self.mover.can:
+            for tenant in can - own - self.coordinator.eligible:
                 self.low[tenant] = "withdrawn"
-            self.mover.change(now, terms, can, own)
+            self.coordinator.reconfigure(now, terms, can, own)
             self.low = {tenant: level for tenant, level in self.low.items() if tenant in can}
         self.at = now
 
@@ -56,7 +61,7 @@
         less preferred with that. Past the bound those stay that were told, then those of the file come: a
         source
         that does not hear of its tenant takes it back."""
-        held = frozenset(self.own) if self.mover is None else self.mover.holds - self.rising
+        held = frozenset(self.own) if self.coordinator is None else self.coordinator.holds - self.rising
         order = sorted(held, key=lambda one: (one not in self.told, one not in self.own, one))
         self.told, self.untold = frozenset(order[:MAX_HELD_TENANTS]), frozenset(order[MAX_HELD_TENANTS:])
         return tuple(sorted(self.told))
@@ -66,9 +71,9 @@
         """Whether no move may bring one more. The last one that comes counts once it is over: till then its
         source asks for room."""
         return (
-            self.mover is not None
-            and len(self.mover.holds) >= MAX_HELD_TENANTS
-            and not any(place.on_way for place in self.mover.places.values())
+            self.coordinator is not None
+            and len(self.coordinator.holds) >= MAX_HELD_TENANTS
+            and not any(state.is_arriving for state in self.coordinator.tenant_states.values())
         )
 
     def risen(self, in_full: Callable[[str], bool]) -> bool:
@@ -78,16 +83,16 @@
         return bool(up)
 
     def saw(self, now: float, view: View) -> None:
-        if self.mover is not None:
-            self.mover.saw(now, view)
+        if self.coordinator is not None:
+            self.coordinator.observe(now, view)
             self.seen = True
 
     def settle(self, now: float) -> dict[str, str]:
         """By tenant, the levels that changed: full, less or withdrawn."""
-        if self.mover is None or not (self.seen or now >= self.at):
+        if self.coordinator is None or not (self.seen or now >= self.at):
             return {}
         self.seen = False
-        changed = {one.tenant: type(one).__name__.lower() for one in self.mover.settle(now)}
+        changed = {one.tenant: one.level_name for one in self.coordinator.advance(now)}
         for tenant, level in changed.items():
             self.low.pop(tenant, None)
             self.rising.discard(tenant)
@@ -95,30 +100,30 @@
                 self.low[tenant] = level
             elif tenant not in self.own:  # its own were announced from the start
                 self.rising.add(tenant)
-        self.at = self.mover.next(now)
+        self.at = self.coordinator.next_advance_at(now)
         return changed
 
     def next(self) -> float:
-        return float("inf") if self.mover is None else self.at
+        return float("inf") if self.coordinator is None else self.at
 
     def parts(self, now: float) -> dict[str, bytes]:
         """For this node's snapshot."""
-        return {} if self.mover is None else {"moves": self.mover.part(now)}
+        return {} if self.coordinator is None else {"moves": self.coordinator.encoded_part(now)}
 
     def counted(self) -> Counter[str]:
         """What happened since this was asked last."""
-        if self.mover is None:
+        if self.coordinator is None:
             return Counter()
-        found = Counter(self.mover.counts)
-        self.mover.counts.clear()
+        found = Counter(self.coordinator.counts)
+        self.coordinator.counts.clear()
         return found
 
     def status(self, now: float) -> dict[str, Any]:
         """Plain values for `moves show`."""
         holds = sorted({*self.holds(), *self.untold})
-        told: dict[str, Any] = {"holds": holds, "moves": self.mover is not None}
-        if self.mover is not None:
+        told: dict[str, Any] = {"holds": holds, "moves": self.coordinator is not None}
+        if self.coordinator is not None:
             from thymeyoke.migration import presentation
 
-            told |= presentation.status(self.mover, now)
+            told |= presentation.status(self.coordinator, now)
         return told
