--- a/tests/fault_injection/defences.py
+++ b/tests/fault_injection/defences.py
@@ -65,7 +65,11 @@
     Defence(
         "exceptions are told to the other nodes",
         SEATS + "test_an_app_server_joins_and_takes_new_customers_alone",
-        one("proxy/process.py", 'if not self.fleet.send(to, "seats", words.encode(body))', "if to == words"),
+        one(
+            "proxy/process.py",
+            'if not self.membership.send(to, "seats", affinity_wire.encode(body))',
+            "if to == affinity_wire",
+        ),
     ),
     Defence(
         "an app server that was dead ripens: who was placed elsewhere stays there",
@@ -85,7 +89,7 @@
                 "        self.state = max(self.state, State.LEAVING)\n",
                 "        pass\n",
             ),
-            Change("thymeyoke/proxy/upstream_connector.py", "TRIES = 3 ", "TRIES = 1 "),
+            Change("thymeyoke/proxy/upstream_connector.py", "MAX_ATTEMPTS = 3 ", "MAX_ATTEMPTS = 1 "),
         ),
     ),
     Defence(
@@ -93,8 +97,8 @@
         SEATS + "test_nodes_join_leave_die_and_come_back",
         one(
             "proxy/process.py",
-            "now >= self.door_at and self.handed and not self.guests.every\n",
-            "self.leaving\n",
+            "now >= self.listener_closes_at and self.has_handed_over and not self.sessions.open_sessions\n",
+            "self.is_draining\n",
         ),
     ),
     Defence(
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -1,5 +1,4 @@
-"""The node: the rules of its page on the decisions, relays on real sockets, and processes with app servers
-behind them."""
+"""The proxy node: the rules of docs/proxy.md, relays on real sockets, and processes with app servers."""
 
 from __future__ import annotations
 
@@ -38,14 +37,14 @@
 from thymeyoke.migration.configuration import Moves
 from thymeyoke.migration.controller import Level as Announced
 from thymeyoke.proxy import advertisement_levels, listener, process, relay, session_state, upstream_connector
-from thymeyoke.proxy.client_session import Guests, Place
-from thymeyoke.proxy.configuration import Node as NodeTold
+from thymeyoke.proxy.client_session import ClientSessions, UpstreamAddress
+from thymeyoke.proxy.configuration import Node as NodeSettings
 from thymeyoke.proxy.configuration import Service
 from thymeyoke.proxy.connection_admission import ConnectionTable, WaitingConnection
 from thymeyoke.proxy.load import Rates
-from thymeyoke.proxy.process import Node
-from thymeyoke.proxy.relay import KERNEL, WINDOW, Relays
-from thymeyoke.proxy.upstream_connector import Connects, Next, Open
+from thymeyoke.proxy.process import ProxyNode
+from thymeyoke.proxy.relay import KERNEL_BUFFER_BYTES, WINDOW_BYTES, Relays
+from thymeyoke.proxy.upstream_connector import Open, ReassignSession, UpstreamConnector
 from thymeyoke.runtime import logs
 from thymeyoke.runtime.clock import clock
 from thymeyoke.runtime.extensions import HostConfigurationError
@@ -62,8 +61,8 @@
 
 
 async def follow(t: unittest.TestCase, plays: Any, text: str) -> None:
-    """Words `verb:what@when=found`, carried out one after the other by the verbs of a player. Without `=`
-    nothing is asked of what is found."""
+    """Run a script of words `verb:argument@time=result` with the verbs of a player; results are checked if
+    given."""
     for word in text.split():
         call, asks, wanted = word.partition("=")
         call, _, at = call.partition("@")
@@ -75,7 +74,7 @@
 
 
 def script(player: Callable[[], Any], *texts: str) -> Case:
-    """A case, each text with a player of its own."""
+    """A test case that runs each script with a new player."""
 
     async def run(t: unittest.TestCase) -> None:
         for text in texts:
@@ -97,7 +96,7 @@
 
 
 def room() -> Any:
-    """A table. Connections are told by their tenants, a digit each, and numbered as they come."""
+    """A connection table. Connections are named by their tenant's digit and numbered in order of arrival."""
     table, who = ConnectionTable(MOST), list[Any]()
 
     def come(tenants: str, at: float, spoke: bool = True) -> str:
@@ -132,8 +131,8 @@
 
 
 def out(most: int = 512) -> Any:
-    """Connects of a table of 512: a window of 8. Keys are numbers or spans of them, app servers letters."""
-    made = Connects(most, Random(7))
+    """An upstream connector with a window of 8. Keys are numbers or ranges, app servers are letters."""
+    made = UpstreamConnector(most, Random(7))
 
     def each(what: str) -> range:
         first, _, last = what.partition("-")
@@ -141,7 +140,7 @@
 
     def go(what: str = "", at: float = 0.0) -> str:
         """Connects that go out, and with a `!` those that move on."""
-        done = made.settle(at)
+        done = made.advance(at)
         return listed(one.key if isinstance(one, Open) else f"{one.key}{one.server}!" for one in done)
 
     def failed(what: str, at: float) -> int:
@@ -149,21 +148,21 @@
         pauses = set()
         for key in each(what):
             made.failed(at, key)
-            pauses.add(made.doors["a"].again_at)
+            pauses.add(made.breakers["a"].retry_at)
         return sum(at < until <= at + (0.1 if len(pauses) < 2 else 1.0) for until in pauses)
 
     return SimpleNamespace(
-        go=go, failed=failed, then=lambda what, at: go(at=made.doors["a"].again_at),
-        due=lambda what, at: made.next(at) == made.doors["a"].again_at,
-        ask=lambda what, at: "".join("-+"[made.ask(at, key, what[-1])] for key in each(what[:-1])),
-        came=lambda what, at: [made.came(at, key) for key in each(what)],
-        gone=lambda what, at: [made.gone(key) for key in each(what)],
-        saw=lambda what, at: made.saw(what), doors=lambda what, at: listed(list(made.doors)),
-        narrow=lambda what, at: setattr(made.doors["a"], "window", 1.0),
-        window=lambda what, at: f"{made.doors['a'].window:g}",
-        late=lambda what, at: listed(made.late(at)), tries=lambda what, at: made.tries[int(what)],
-        sizes=lambda what, at: f"{len(made.tries)}/{len(made.where)}/{len(made.out)}",
-        next=lambda what, at: f"{made.next(at):g}", close=lambda what, at: None,
+        go=go, failed=failed, then=lambda what, at: go(at=made.breakers["a"].retry_at),
+        due=lambda what, at: made.next_advance_at(at) == made.breakers["a"].retry_at,
+        ask=lambda what, at: "".join("-+"[made.request(at, key, what[-1])] for key in each(what[:-1])),
+        came=lambda what, at: [made.connected(at, key) for key in each(what)],
+        gone=lambda what, at: [made.forget(key) for key in each(what)],
+        saw=lambda what, at: made.observe(what), doors=lambda what, at: listed(list(made.breakers)),
+        narrow=lambda what, at: setattr(made.breakers["a"], "window", 1.0),
+        window=lambda what, at: f"{made.breakers['a'].window:g}",
+        late=lambda what, at: listed(made.timed_out(at)), tries=lambda what, at: made.attempts[int(what)],
+        sizes=lambda what, at: f"{len(made.attempts)}/{len(made.server_by_key)}/{len(made.in_progress)}",
+        next=lambda what, at: f"{made.next_advance_at(at):g}", close=lambda what, at: None,
     )  # fmt: skip
 
 
@@ -205,29 +204,33 @@
 
 
 class Ends:
-    """A relay, and the far ends of its two connections: `customer` and `server` of the scripts."""
+    """A relay and the remote ends of its two connections, `customer` and `server` in the scripts."""
 
     def __init__(self, relays: Relays | None = None) -> None:
         self.loop, self.relays = asyncio.get_running_loop(), relays or Relays(asyncio.get_running_loop())
         (self.customer, self.near), (self.server, near) = self.tcp(), self.tcp()
-        self.relay = self.relays.begin(self.near, near, self.ended)
+        self.relay = self.relays.start(self.near, near, self.ended)
         self.said = self.sent = self.overs = 0  # octets of `answer`, of `fill`; how often it was told its end
         logs.counters.clear()
         self.end = lambda what, at: getattr(self, what).shutdown(socket.SHUT_WR)
         self.quit = lambda what, at: getattr(self, what).close()
         self.counted = lambda what, at: logs.counters[what]
-        self.stand = lambda what, at: self.relays.sweep(self.relays.swept_at + at)  # this process stood still
-        self.dropped = lambda what, at: 1 << 20 <= self.relay.ways[0].dropped < (1 << 20) + WINDOW
+        self.stand = lambda what, at: self.relays.sweep(
+            self.relays.last_sweep_at + at
+        )  # this process stood still
+        self.dropped = lambda what, at: (
+            1 << 20 <= self.relay.directions[0].discarded < (1 << 20) + WINDOW_BYTES
+        )
         self.writing = lambda what, at: self.all(what, at, 512)
 
     def tcp(self) -> tuple[socket.socket, socket.socket]:
         with socket.socket() as door:
             door.bind((HERE, 0))
-            relay.dress(door)
+            relay.configure_socket(door)
             door.listen()
             far = socket.create_connection(door.getsockname())
             near, _ = door.accept()
-        relay.dress(far)
+        relay.configure_socket(far)
         far.setblocking(False)
         near.setblocking(False)
         return far, near
@@ -244,10 +247,10 @@
         await self.loop.sock_sendall(getattr(self, name), bytes(int(what[len(name) :] or 1)))
 
     async def hear(self, what: str, at: float = 0.0) -> int:
-        return len(await self.loop.sock_recv(getattr(self, what), WINDOW))
+        return len(await self.loop.sock_recv(getattr(self, what), WINDOW_BYTES))
 
     async def all(self, what: str, at: float = 0.0, writes: int = 0) -> str:
-        """Octets until its end: `answer` for all that the server said, `sent` for all of `fill`; `reset`."""
+        """Bytes until the end: `answer` if the whole answer arrived, `sent` for all of `fill`, or `reset`."""
         far, found = getattr(self, what), 0
         try:
             while data := await self.loop.sock_recv(far, 4096):
@@ -260,54 +263,62 @@
         return {self.said: "answer", self.sent: "sent"}.get(found or -1, str(found))
 
     async def had(self, what: str, at: float) -> None:
-        """All of the answer, and word of that is here."""
+        """Wait until the client has the whole answer and has acknowledged it."""
         while self.said > 0:
             self.said -= await self.hear("customer")
-        await self.until(lambda: not relay.unsent(self.near))
+        await self.until(lambda: not relay.unacknowledged_bytes(self.near))
 
     def reset(self, what: str, at: float) -> None:
         getattr(self, what).setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, relay.RESET)
         self.quit(what, at)
 
     async def fill(self, what: str = "", at: float = 0.0) -> None:
-        """As much as a customer can say while nobody reads it."""
+        """Send as much as possible while nobody reads."""
         still = 0
-        while still < 50 or not (self.relays.blocked or self.relays.rests):
+        while still < 50 or not (self.relays.blocked or self.relays.lingering):
             try:
-                self.sent += self.customer.send(bytes(WINDOW))
+                self.sent += self.customer.send(bytes(WINDOW_BYTES))
                 still = 0
             except BlockingIOError:
                 still += 1
             await anyio.sleep(0.001 if still else 0)
 
     def bounded(self, what: str, at: float) -> bool:
-        """What is here, and what Linux keeps at four ends: twice what is asked for, and one piece more."""
+        """Whether buffered data is bounded by the relay's buffer and twice the kernel buffers of four
+        sockets."""
         (way,) = self.relays.blocked
-        return 0 < len(way.held) <= WINDOW and self.sent <= WINDOW + 4 * 3 * KERNEL
+        return (
+            0 < len(way.buffered) <= WINDOW_BYTES and self.sent <= WINDOW_BYTES + 4 * 3 * KERNEL_BUFFER_BYTES
+        )
 
     async def answer(self, what: str, at: float = 0.0) -> None:
-        """An app server closes with an octet of the customer unread, or `clean`. All that it said is here,
-        not all at the customer, which reads nothing. `whole`: the relay is over, with some `held` not yet."""
+        """An app server that closes with a byte of the client unread, or `clean`. The whole answer has
+        arrived here, not all of it at the client, which does not read. `whole`: the relay has ended; `held`:
+        some data is still buffered."""
         if what != "clean":
             await self.say("customer")
             await self.until(lambda: self.relays.octets)
 
         def full() -> bool:
-            return bool(self.relays.blocked) if what == "held" else relay.unsent(self.near) > 2 * WINDOW
+            return (
+                bool(self.relays.blocked)
+                if what == "held"
+                else relay.unacknowledged_bytes(self.near) > 2 * WINDOW_BYTES
+            )
 
         while not full():
-            self.said += self.server.send(bytes(WINDOW // 2))
-            await self.until(lambda: not relay.unsent(self.server))
+            self.said += self.server.send(bytes(WINDOW_BYTES // 2))
+            await self.until(lambda: not relay.unacknowledged_bytes(self.server))
             await anyio.sleep(0.2 if full() else 0.005)  # an ack may be late
         self.server.close()
         await self.until(lambda: self.overs or what != "whole")
 
     async def unread(self, what: str, at: float) -> None:
-        """Another connection, closed here with octets both on their way out and unread."""
+        """Another connection, closed here while data is being sent and data is unread."""
         far, near = self.tcp()
         with suppress(BlockingIOError):
             while True:
-                self.said += near.send(bytes(WINDOW))
+                self.said += near.send(bytes(WINDOW_BYTES))
         far.send(b"written meanwhile")
         await self.until(lambda: select.select([near], [], [], 0)[0])
         relay.reset(near)
@@ -315,28 +326,33 @@
         self.customer = far
 
     async def over(self, what: str = "", at: float = 0.0) -> str:
-        """How often it was told that it is over, and how many get a rest."""
+        """How often the end was reported, and the number of lingering connections."""
         await anyio.sleep(0.01)
-        return f"{self.overs}/{len(self.relays.rests)}"
+        return f"{self.overs}/{len(self.relays.lingering)}"
 
     async def gone(self, what: str, at: float) -> None:
-        await self.until(lambda: self.overs and not self.relays.rests)
+        await self.until(lambda: self.overs and not self.relays.lingering)
 
     def late(self, counter: str, at: float) -> bool:
-        """Whether, looked at often, it ends when its time is over, and not before."""
+        """Whether, with frequent sweeps, it ends exactly when its time is over."""
         relays, found = self.relays, []
-        (since,) = (relays.blocked or relays.halved or relays.rests).values()
-        relays.swept_at = since
+        (since,) = (relays.blocked or relays.half_closed_since or relays.lingering).values()
+        relays.last_sweep_at = since
         for span in (*range(1, int(at), 4), at - 0.01, at):
             relays.sweep(since + span)
-            found.append((not (relays.every or relays.rests), logs.counters[counter]))
+            found.append((not (relays.open_relays or relays.lingering), logs.counters[counter]))
         return self.overs == 1 and found == [*[(False, 0)] * (len(found) - 1), (True, 1)]
 
     def close(self, what: str = "", at: float = 0.0) -> None:
         self.relays.close()
         self.customer.close()
         self.server.close()
-        left = [self.relays.every, self.relays.blocked, self.relays.halved, self.relays.rests]
+        left = [
+            self.relays.open_relays,
+            self.relays.blocked,
+            self.relays.half_closed_since,
+            self.relays.lingering,
+        ]
         assert not any(left) and self.overs <= 1, (left, self.overs)
 
 
@@ -374,14 +390,14 @@
 @rule(19)
 @on_sockets
 async def passes(t: unittest.TestCase, ends: Ends) -> None:
-    body = Random(1).randbytes(40 * WINDOW)
-    for way in ends.relay.ways:  # accepted: what its listener was told holds for it
+    body = Random(1).randbytes(40 * WINDOW_BYTES)
+    for way in ends.relay.directions:  # accepted: what its listener was told holds for it
         tcp = [way.source.getsockopt(socket.IPPROTO_TCP, option)
                for option in (socket.TCP_NODELAY, socket.TCP_USER_TIMEOUT)]  # fmt: skip
         # Found after 90 s where octets are unacked as well: no probe of the machine goes out then.
         t.assertEqual(tcp, [1, 90_000])
         t.assertEqual(way.source.getsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE), 1)
-        t.assertEqual(way.source.getsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF), 2 * KERNEL)
+        t.assertEqual(way.source.getsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF), 2 * KERNEL_BUFFER_BYTES)
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(ends.loop.sock_sendall, ends.customer, body)
         t.assertEqual(await ends.loop.sock_recv(ends.server, 1), body[:1])
@@ -404,15 +420,17 @@
 @rule(31)
 @on_sockets
 async def rests_many(t: unittest.TestCase, ends: Ends) -> None:
-    guests, _, _ = customers(t, 0, {})
-    t.assertEqual(guests.relays.most, 18)
-    guests.change(400)
-    t.assertEqual(guests.relays.most, 116)
-    ends.relays.most = 1
+    sessions, _, _ = customers(t, 0, {})
+    t.assertEqual(sessions.relays.max_lingering_directions, 18)
+    sessions.resize(400)
+    t.assertEqual(sessions.relays.max_lingering_directions, 116)
+    ends.relays.max_lingering_directions = 1
     await ends.answer("whole")
     other = Ends(ends.relays)
     await other.answer("whole")
-    t.assertEqual((list(ends.relays.rests), logs.counters["node_rest_late"]), ([other.relay.ways[0]], 1))
+    t.assertEqual(
+        (list(ends.relays.lingering), logs.counters["node_rest_late"]), ([other.relay.directions[0]], 1)
+    )
     t.assertEqual((ends.near.fileno(), ends.overs, other.overs), (-1, 1, 1))
     other.close()
 
@@ -421,9 +439,10 @@
 
 
 def customers(
-    t: unittest.TestCase, many: int, places: dict[str, Place]
-) -> tuple[Guests, list[str], list[socket.socket]]:
-    """Customers that have spoken, at a node whose app server "a" is at `places`; what its seats were told."""
+    t: unittest.TestCase, many: int, places: dict[str, UpstreamAddress]
+) -> tuple[ClientSessions, list[str], list[socket.socket]]:
+    """Clients that have sent data, at a node whose app server "a" is at `places`; and the calls of the
+    affinity table."""
     said, all_far = list[str](), list[socket.socket]()
 
     def says(what: str, seat: Assignment | None = None) -> Callable[..., Any]:
@@ -437,63 +456,68 @@
         connection_closed=says("closed"),
     )
     loop = asyncio.get_running_loop()
-    guests = Guests(MOST, cast(Any, seats), Random(7), loop, lambda: None, says("awake"))
-    guests.saw(places)
-    t.addCleanup(guests.close)
+    sessions = ClientSessions(MOST, cast(Any, seats), Random(7), loop, lambda: None, says("awake"))
+    sessions.observe(places)
+    t.addCleanup(sessions.close)
     for _ in range(many):
         far, near = socket.socketpair()
         t.addCleanup(far.close)
         near.setblocking(False)
         far.send(b"op")
         all_far.append(far)
-        guests.take(cast(Any, SERVICE), near, HERE)
-    return guests, said, all_far
+        sessions.accept(cast(Any, SERVICE_NORTH), near, HERE)
+    return sessions, said, all_far
 
 
 def service_at(tenant: str, where: str = "127.0.0.1:5001", **more: Any) -> Service:
     return Service(tenant, HostPort.parse(where), **more)
 
 
-SERVICE = SimpleNamespace(number=0, told=service_at("north"))
+SERVICE_NORTH = SimpleNamespace(number=0, settings=service_at("north"))
 
 
-def node(t: unittest.TestCase) -> Node:
-    made = Node(orders(), 7)
+def node(t: unittest.TestCase) -> ProxyNode:
+    made = ProxyNode(orders(), 7)
     t.addCleanup(made.close)
     return made
 
 
 def orders(connections: int = MOST, services: int = 1) -> dict[str, Any]:
-    node = NodeTold("node-1", (SERVICE.told,) * services, connections)
+    node = NodeSettings("node-1", (SERVICE_NORTH.settings,) * services, connections)
     return {"node": node, "members": Members(HostPort.parse("127.0.0.1:6001"))}
 
 
 class Connections(unittest.IsolatedAsyncioTestCase):
     async def test_an_error_with_one_ends_no_turn(self) -> None:
-        guests, said, all_far = customers(self, 2, {"a": Place(socket.AF_INET, ("127.0.0.1\0", 1))})
-        now, connects = clock(), guests.connects
+        sessions, said, all_far = customers(
+            self, 2, {"a": UpstreamAddress(socket.AF_INET, ("127.0.0.1\0", 1))}
+        )
+        now, connects = clock(), sessions.connector
         for at in (0.0, 1.3, 50.0):
-            guests.settle(now + at)
-        self.assertEqual((guests.table.held, connects.out, connects.tries, guests.every), (0, {}, {}, {}))
+            sessions.advance(now + at)
+        self.assertEqual(
+            (sessions.table.held, connects.in_progress, connects.attempts, sessions.open_sessions),
+            (0, {}, {}, {}),
+        )
         self.assertEqual(said, ["seat", "seat"])
         for far in all_far:
             with suppress(ConnectionResetError):  # what it said was not read
                 self.assertEqual(far.recv(9), b"")
 
     async def test_one_that_is_late_and_broken_ends_no_turn(self) -> None:
-        guests, now = customers(self, 2, {})[0], clock()
-        guests._connect = lambda now, guest: None  # type: ignore[method-assign]
-        guests.settle(now)
-        self.assertEqual(len(guests.connects.out), 2)  # with no way there
-        guests.settle(now + upstream_connector.TIMEOUT)
-        self.assertEqual((guests.connects.out, guests.every), ({}, {}))
+        sessions, now = customers(self, 2, {})[0], clock()
+        sessions._connect = lambda now, guest: None  # type: ignore[method-assign]
+        sessions.advance(now)
+        self.assertEqual(len(sessions.connector.in_progress), 2)  # with no way there
+        sessions.advance(now + upstream_connector.CONNECT_TIMEOUT_SECONDS)
+        self.assertEqual((sessions.connector.in_progress, sessions.open_sessions), ({}, {}))
 
     async def test_seats_hear_of_a_standstill_before_a_connect_s_outcome(self) -> None:
         with socket.create_server((HERE, 0)) as door:
-            here = {"a": Place(socket.AF_INET, door.getsockname())}
+            here = {"a": UpstreamAddress(socket.AF_INET, door.getsockname())}
             for places, last in (({}, "failed"), (here, "opened")):
-                guests, said, _ = customers(self, 1, places)
-                guests.settle(clock())
+                sessions, said, _ = customers(self, 1, places)
+                sessions.advance(clock())
                 with self.subTest(last=last), anyio.fail_after(10):
                     while last not in said:
                         await anyio.sleep(0.001)
@@ -505,25 +529,25 @@
         for name, serves in at.items():
             said = Snapshot(name, False, 1, 1, State.SERVING, "127.0.0.9:6001", serves)
             servers[name] = Member(said, Trust.SURE, 0.0, 1.0)
-        here.fleet.view = lambda: View(1, clock(), "node-1", servers)  # type: ignore[method-assign]
-        here._saw(clock())
-        one, other = (Place(socket.AF_INET, (host, 4100)) for host in (HERE, "127.0.0.9"))
-        self.assertEqual(here.guests.places, {"a": one, "d": one, "e": other})
-        self.assertEqual(set(here.seats.servers), {"a", "d", "e"})
+        here.membership.view = lambda: View(1, clock(), "node-1", servers)  # type: ignore[method-assign]
+        here._observe_view(clock())
+        one, other = (UpstreamAddress(socket.AF_INET, (host, 4100)) for host in (HERE, "127.0.0.9"))
+        self.assertEqual(here.sessions.addresses, {"a": one, "d": one, "e": other})
+        self.assertEqual(set(here.affinity.servers), {"a", "d", "e"})
         self.assertEqual(logs.gauges["node_servers_nowhere"], 2)
 
     async def test_a_node_that_leaves_waits_for_rests(self) -> None:
         here = node(self)
-        here.handed, here.door_at, here.end_at = True, clock() - 1.0, clock() + 60.0
-        self.assertTrue(here.over)
-        with mock.patch.dict(here.guests.relays.rests, {cast(Any, "way"): 0.0}):
-            self.assertFalse(here.over)
+        here.has_handed_over, here.listener_closes_at, here.end_at = True, clock() - 1.0, clock() + 60.0
+        self.assertTrue(here.is_over)
+        with mock.patch.dict(here.sessions.relays.lingering, {cast(Any, "way"): 0.0}):
+            self.assertFalse(here.is_over)
 
     async def test_no_descriptor_for_a_listener(self) -> None:
         none = OSError(errno.EMFILE, "Too many open files")
         with mock.patch.object(listener.socket, "socket", side_effect=none), self.assertRaisesRegex(
                 HostConfigurationError, r"north\] address: .* \(Too many open files\); give"):  # fmt: skip
-            listener.Service(SERVICE.told, 0, lambda *_: None).open(1)
+            listener.Service(SERVICE_NORTH.settings, 0, lambda *_: None).open(1)
 
 
 NEEDS = 2304 + 64 + 16  # descriptors of a node, besides its connections and services
@@ -539,33 +563,33 @@
         limits = mock.patch.object(process.resource, "getrlimit", lambda what, hard=hard: (64, hard))
         with limits, mock.patch.object(process.resource, "setrlimit") as sets:
             try:
-                process.probe(orders(connections, services))
+                process.check_config(orders(connections, services))
             except HostConfigurationError as error:
                 t.assertTrue(why)
                 t.assertRegex(str(error), rf"^\[node\] connections: .*{why}")
                 continue
             t.assertEqual(why, "")
             here = SimpleNamespace(services=dict.fromkeys(range(5)))  # that go once the new ones are open
-            Node._limits(cast(Any, here), orders(connections, services)["node"])
+            ProxyNode._raise_descriptor_limit(cast(Any, here), orders(connections, services)["node"])
             need = NEEDS + 3 * connections + connections // 4 + services + 5
             soft = need if hard < 0 else min(need, hard)
             sets.assert_called_once_with(process.resource.RLIMIT_NOFILE, (soft, hard))
 
 
 def tells() -> Any:
-    """A node that holds 1,023 tenants by its file, t0000 to t1022, and may hold seven more."""
-    node, said, lines = Node(orders(), 7), dict[str, Any](), list[str]()
-    node.fleet.announce = said.update  # type: ignore[method-assign]
+    """A node that holds 1,023 tenants by configuration, t0000 to t1022, and may hold seven more."""
+    node, said, lines = ProxyNode(orders(), 7), dict[str, Any](), list[str]()
+    node.membership.announce = said.update  # type: ignore[method-assign]
     logs.gauges.clear()
     services = [service_at(f"t{at:04}", standby=at >= 1023) for at in range(1030)]
-    node.moving.change(0.0, Moves(act="move"), services)
-    places = cast(Any, node.moving.coordinator).tenant_states
+    node.migration.reconfigure(0.0, Moves(act="move"), services)
+    places = cast(Any, node.migration.coordinator).tenant_states
 
     def told(what: str, at: float) -> str:
         """Its room, which of the seven it tells, how many it does not, and lines."""
         lines.clear()
         with mock.patch.object(logs, "log_event", lambda level, what, *_, **__: lines.append(what)):
-            node._say(clock())
+            node._publish(clock())
         assert len(said["holds"]) <= 1024
         seven = listed(one for one in said["holds"] if one > "t1022")
         return f"{said['room']}/{seven}/{logs.gauges['node_tenants_untold']}/{len(lines)}"
@@ -574,8 +598,8 @@
         told=told, full=lambda what, at: setattr(places[what], "level", Announced.PREFERRED),
         less=lambda what, at: setattr(places[what], "level", Announced.DEPREFERRED),
         on_way=lambda what, at: setattr(places[what], "is_arriving", bool(at)),
-        file=lambda what, at: setattr(node.moving, "own", (*node.moving.own, what)),
-        shown=lambda what, at: len(node.moving.status(1.0)["holds"]), close=lambda what, at: node.close(),
+        file=lambda what, at: setattr(node.migration, "configured", (*node.migration.configured, what)),
+        shown=lambda what, at: len(node.migration.status(1.0)["holds"]), close=lambda what, at: node.close(),
     )  # fmt: skip
 
 
@@ -639,7 +663,7 @@
         played(self, rows(PAGE, "Rules"), "id", RULES)
 
     def test_every_place_is_given_back_once(self) -> None:
-        """Whatever happens in whatever order, up to eight events."""
+        """For all sequences of up to eight events."""
         seen = {(session_state.At.SILENT, 0, 0)}
         for _ in range(8):
             for (at, places, closed), event in itertools.product(list(seen), session_state.Event):
@@ -654,7 +678,7 @@
 
 
 class Drawn(unittest.TestCase):
-    """Whatever comes in whatever order: nothing is lost, nothing counted twice, no bound passed."""
+    """Random operations in any order: nothing is lost or counted twice, and no bound is exceeded."""
 
     def test_table(self) -> None:
         for seed in range(30):
@@ -682,7 +706,7 @@
 
     def test_connects(self) -> None:
         for seed in range(30):
-            rng, made, now = Random(seed), Connects(512, Random(seed)), 0.0
+            rng, made, now = Random(seed), UpstreamConnector(512, Random(seed)), 0.0
             idle, tries = set(range(30)), Counter[int]()
 
             for _ in range(400):
@@ -692,31 +716,31 @@
                     case 0 | 1 if idle:
                         key = idle.pop()
                         tries[key] += 1
-                        over = [] if made.ask(now, key, rng.choice("abc")) else [key]
-                    case 2 if made.out:
-                        made.came(now, key := rng.choice(list(made.out)))
+                        over = [] if made.request(now, key, rng.choice("abc")) else [key]
+                    case 2 if made.in_progress:
+                        made.connected(now, key := rng.choice(list(made.in_progress)))
                         over = [key]
-                    case 3 if made.out:
-                        idle.add(key := rng.choice(list(made.out)))
+                    case 3 if made.in_progress:
+                        idle.add(key := rng.choice(list(made.in_progress)))
                         made.failed(now, key)
-                    case 4 if made.where:
-                        over = [rng.choice(list(made.where))]
+                    case 4 if made.server_by_key:
+                        over = [rng.choice(list(made.server_by_key))]
                 for key in over:
-                    made.gone(key)
+                    made.forget(key)
                     idle.add(key)
                     del tries[key]
-                for key in made.late(now):
+                for key in made.timed_out(now):
                     idle.add(key)
                     made.failed(now, key)
-                idle |= {action.key for action in made.settle(now) if isinstance(action, Next)}
-                for name, door in made.doors.items():
-                    there = {one for one, at in made.where.items() if at == name}
-                    self.assertEqual((door.out, set(door.waiting)), (
-                        len(there & made.out.keys()), there - made.out.keys()))  # fmt: skip
-                    self.assertTrue(0 <= door.out <= 8 and 1 <= door.window <= 8)
-                self.assertLessEqual(max(tries.values(), default=0), upstream_connector.TRIES)
-                self.assertEqual({key: many for key, many in tries.items() if many}, made.tries)
-                self.assertGreaterEqual(made.next(now), now)
+                idle |= {action.key for action in made.advance(now) if isinstance(action, ReassignSession)}
+                for name, door in made.breakers.items():
+                    there = {one for one, at in made.server_by_key.items() if at == name}
+                    self.assertEqual((door.in_progress, set(door.waiting)), (
+                        len(there & made.in_progress.keys()), there - made.in_progress.keys()))  # fmt: skip
+                    self.assertTrue(0 <= door.in_progress <= 8 and 1 <= door.window <= 8)
+                self.assertLessEqual(max(tries.values(), default=0), upstream_connector.MAX_ATTEMPTS)
+                self.assertEqual({key: many for key, many in tries.items() if many}, made.attempts)
+                self.assertGreaterEqual(made.next_advance_at(now), now)
 
 
 class Loads(unittest.TestCase):
@@ -725,18 +749,18 @@
         for at in range(60):
             for _ in range(20):
                 rates.opened("a")
-            figures = rates.look(at + 1.0, {"a": 5, "b": 1})
+            figures = rates.update(at + 1.0, {"a": 5, "b": 1})
         self.assertEqual([load.tenant for load in figures.loads], ["a", "b"])
         self.assertEqual((figures.connections, figures.rest.connections), (6, 0))
         self.assertAlmostEqual(figures.opened, 20.0, delta=0.5)
-        self.assertEqual((rates.look(300.0, {}).loads, rates.rates), ((), {}))
+        self.assertEqual((rates.update(300.0, {}).loads, rates.rates), ((), {}))
 
 
 # Processes.
 
 
 class Meets:
-    """Which app server answered whom, on a connection a time."""
+    """Which app server answered which client, on one connection at a time."""
 
     def __init__(self, here: Drill) -> None:
         self.here, self.met = here, Counter[tuple[int, str]]()
@@ -860,7 +884,7 @@
             self.assertEqual(await node.gone(), 0)
 
     async def test_a_full_table(self) -> None:
-        """A tenant floods it; another one takes the next place that is free, though it came last."""
+        """A tenant floods the table; another tenant gets the next free slot although it came last."""
         async with drill(44, servers=1, nodes=1, tenants=("north", "south")) as here:
             here["node-1"].options = {"connections": MOST}
             await here.up()
@@ -883,7 +907,7 @@
                 await meets.op(line)  # none of them was cut
 
     async def test_app_servers_that_are_not_there(self) -> None:
-        """One dies: its customers go to the next place. Both: they are closed, and nothing ran."""
+        """If one dies, its clients move to the other; if both die, connections are closed and nothing ran."""
         async with drill(43, servers=2, nodes=1) as here:
             await here.up()
             await here.ripe()  # before, all may be given to the one that is known first
--- a/thymeyoke/cli.py
+++ b/thymeyoke/cli.py
@@ -182,7 +182,7 @@
         if "node" in sections:
             from thymeyoke.proxy import process
 
-            process.probe(sections)
+            process.check_config(sections)
         else:
             check_host(sections)
         return sections
--- a/thymeyoke/proxy/advertisement_levels.py
+++ b/thymeyoke/proxy/advertisement_levels.py
@@ -1,6 +1,6 @@
-"""How high each service address may be announced: what moves say of its tenants, as caps for `announce`.
+"""The highest announcement level of each service address, given the levels of its tenants.
 
-Pure. Loaded with `[announce]` alone.
+No I/O. Imported only with `[announce]`.
 """
 
 from __future__ import annotations
@@ -15,8 +15,10 @@
 def caps(
     addresses: Iterable[Prefix], services: Iterable[Service], low: Mapping[str, str]
 ) -> dict[Prefix, Why]:
-    """`low`: by tenant `less` or `withdrawn`; who is not named goes out in full. An address that serves
-    several tenants goes as high as the highest of them; one that serves none is free."""
+    """Compute the caps; `low` has the tenants with a lower level, `less` or `withdrawn`.
+
+    An address of several tenants gets the highest of their levels; an address without a tenant has no cap.
+    """
     found: dict[Prefix, Why] = {}
     there = list(services)
     for prefix in addresses:
--- a/thymeyoke/proxy/client_session.py
+++ b/thymeyoke/proxy/client_session.py
@@ -1,8 +1,8 @@
-"""The connections of customers, each from its accept to its end.
+"""The client connections of a node, each from its accept to its end.
 
-Callbacks of sockets move the state of one connection, by the table of `life.py`; `settle` asks the decisions
-(table, connects, seats) what is next for all of them and carries it out. Nothing is read before the app
-server is connected to.
+Callbacks of sockets move one connection through the table of `session_state.py`. `advance` asks the
+connection table, the upstream connector and the affinity table what is next for all connections, and carries
+it out. Nothing is read from a client before its app server is connected.
 """
 
 from __future__ import annotations
@@ -27,25 +27,25 @@
 from thymeyoke.proxy.listener import Service
 from thymeyoke.proxy.load import Rates
 from thymeyoke.proxy.session_state import At, Do, Event
-from thymeyoke.proxy.upstream_connector import Connects, Open
+from thymeyoke.proxy.upstream_connector import Open, UpstreamConnector
 from thymeyoke.runtime import logs
 from thymeyoke.runtime.clock import clock
 
-FOR_ALL = (
+SHARED_WAIT_REASONS = (
     AssignmentReason.JOINING,
     AssignmentReason.NO_SERVER,
-)  # why a guest waits for its seat, and so does everybody behind it
+)  # reasons to wait that concern all sessions
 RESET = select.POLLERR | select.POLLHUP
-OURS = (
+LOCAL_ERRORS = (
     errno.EMFILE,
     errno.ENFILE,
     errno.ENOBUFS,
     errno.ENOMEM,
     errno.EADDRNOTAVAIL,
-)  # this machine's trouble
+)  # errors of this machine
 
-# What is counted when a connection is closed with nothing run, by where it stood and what happened.
-COUNTED = {
+# Counters of connections closed without a run, by state and event.
+CLOSE_COUNTERS = {
     (At.SILENT, Event.LATE): "node_silent",
     (At.SILENT, Event.LEFT): "node_left_early",
     (At.SILENT, Event.PUSHED): "node_pushed_out",
@@ -61,337 +61,361 @@
 }
 
 
-class Place(NamedTuple):
-    """Where an app server takes ops."""
+class UpstreamAddress(NamedTuple):
+    """The address at which an app server accepts connections."""
 
     family: socket.AddressFamily
     address: tuple[str, int]
 
 
-class Guest:
-    """One connection of a customer."""
+class ClientSession:
+    """One client connection."""
 
-    __slots__ = ("at", "let_in_at", "number", "server", "service", "sock", "source", "waiter", "way", "who")
+    __slots__ = (
+        "admitted_at",
+        "at",
+        "client",
+        "number",
+        "server",
+        "service",
+        "sock",
+        "source",
+        "upstream",
+        "waiter",
+    )
 
     def __init__(self, number: int, service: Service, sock: socket.socket, source: str) -> None:
         self.number, self.service, self.sock, self.source = number, service, sock, source
-        self.who = 0  # its customer, once it is let in
+        self.client = 0  # the client's key, once admitted
         self.at, self.server = At.SILENT, ""
-        self.let_in_at = 0.0  # since when it has a place at the table; 0 without one
-        self.waiter: WaitingConnection | None = None  # while it waits
-        self.way: socket.socket | None = None  # to its app server, until octets pass
+        self.admitted_at = 0.0  # 0 while it has no slot
+        self.waiter: WaitingConnection | None = None  # while it waits for a slot
+        self.upstream: socket.socket | None = None  # to its app server, until the relay starts
 
 
-class Guests:
-    """All of a node. `every` is emptied as connections end. `poke`: have `settle` called soon. `awake`: told
-    the moment before callbacks of the loop tell seats anything; they may run before the node's own turn."""
+class ClientSessions:
+    """All client connections of a node.
+
+    Sessions leave `open_sessions` as they end. `wake` schedules a call of `advance`. `detect_stall` is called
+    before callbacks of the event loop use the affinity table, as they may run before the node's own loop.
+    """
 
     def __init__(
-        self, most: int, seats: AffinityTable, rng: Random, loop: asyncio.AbstractEventLoop,
-        poke: Callable[[], None], awake: Callable[[float], None],
+        self, max_connections: int, affinity: AffinityTable, rng: Random, loop: asyncio.AbstractEventLoop,
+        wake: Callable[[], None], detect_stall: Callable[[float], None],
     ) -> None:  # fmt: skip
-        self.seats, self.loop, self.poke, self.awake = seats, loop, poke, awake
-        self.table, self.connects = ConnectionTable(most), Connects(most, rng)
+        self.affinity, self.loop, self.wake, self.detect_stall = affinity, loop, wake, detect_stall
+        self.table, self.connector = ConnectionTable(max_connections), UpstreamConnector(max_connections, rng)
         self.relays, self.rates = relay.Relays(loop), Rates(clock())
-        self.relays.most = relay.rests_most(most)
-        self.every: dict[int, Guest] = {}
-        self.numbered = count(1)
-        self.places: Mapping[str, Place] = {}
-        # Guests whose seat is asked for again; emptied as moments pass. Where the reason is everybody's, only
-        # the first in the queue is asked for.
-        self.asks: list[tuple[float, int]] = []
-        self.queue: deque[Guest] = deque()
+        self.relays.max_lingering_directions = relay.max_lingering(max_connections)
+        self.open_sessions: dict[int, ClientSession] = {}
+        self.session_numbers = count(1)
+        self.addresses: Mapping[str, UpstreamAddress] = {}
+        # Sessions whose assignment is retried, by time. Sessions that wait for a reason common to all are in
+        # `queue` instead, of which only the first is retried.
+        self.retry_heap: list[tuple[float, int]] = []
+        self.queue: deque[ClientSession] = deque()
         self.queue_at = float("inf")
-        self.news = False  # seats may say something else now
-        self.touched = False  # seats were told something since they were last settled
-        self.patience = max(
-            QUEUE_TIMEOUT_SECONDS, JOIN_TIMEOUT_MARGINS * seats.margin
-        )  # seconds that one who was let in waits for its seat
-        self.does: dict[Do, Callable[[float, Guest], None]] = {
+        self.has_news = False  # assignments may have changed
+        self.has_changes = False  # the affinity table was changed since its last run
+        self.assignment_timeout = max(
+            QUEUE_TIMEOUT_SECONDS, JOIN_TIMEOUT_MARGINS * affinity.margin
+        )  # seconds that an admitted session waits for its assignment
+        self.handlers: dict[Do, Callable[[float, ClientSession], None]] = {
             Do.ASK_PLACE: self._ask_place, Do.ASK_SEAT: self._ask_seat, Do.ASK_CONNECT: self._ask_connect,
             Do.ASK_NEXT: self._ask_next, Do.PASS: self._pass, Do.GIVE_BACK: self._give_back,
             Do.LEAVE_SEAT: self._leave_seat, Do.CLOSE: self._close,
         }  # fmt: skip
 
-    # Told from outside.
+    # Input.
 
-    def change(self, most: int) -> None:
-        """Another size of the table."""
-        self.table.max_connections = most
-        self.connects.change(most)
-        self.relays.most = relay.rests_most(most)
-        self.poke()
+    def resize(self, max_connections: int) -> None:
+        """Change the size of the table."""
+        self.table.max_connections = max_connections
+        self.connector.resize(max_connections)
+        self.relays.max_lingering_directions = relay.max_lingering(max_connections)
+        self.wake()
 
-    def saw(self, places: Mapping[str, Place]) -> None:
-        """App servers that are there."""
-        self.places, self.news = places, True
-        self.connects.saw(places)
+    def observe(self, addresses: Mapping[str, UpstreamAddress]) -> None:
+        """Update the addresses of the available app servers."""
+        self.addresses, self.has_news = addresses, True
+        self.connector.observe(addresses)
 
-    def take(self, service: Service, sock: socket.socket, source: str) -> None:
-        """A connection, just accepted."""
+    def accept(self, service: Service, sock: socket.socket, source: str) -> None:
+        """Take a newly accepted connection."""
         now = clock()
         logs.counters["node_accepted"] += 1
-        guest = Guest(next(self.numbered), service, sock, source)
-        waiter, pushed = self.table.add(now, service.number, guest)
-        if pushed is not None:
-            pushed.connection.waiter = None
-            self._move(now, pushed.connection, Event.PUSHED)
+        session = ClientSession(next(self.session_numbers), service, sock, source)
+        waiter, evicted = self.table.add(now, service.number, session)
+        if evicted is not None:
+            evicted.connection.waiter = None
+            self._transition(now, evicted.connection, Event.PUSHED)
         if waiter is None:
             logs.counters["node_turned_away"] += 1
             return relay.reset(sock)
-        guest.waiter = waiter
-        self.every[guest.number] = guest
-        if not self._look_in(guest):
-            self.loop.add_reader(sock.fileno(), self._look_in, guest)
+        session.waiter = waiter
+        self.open_sessions[session.number] = session
+        if not self._check_first_bytes(session):
+            self.loop.add_reader(sock.fileno(), self._check_first_bytes, session)
 
     def close(self) -> None:
-        """Whatever is still open."""
+        """Close all connections."""
         self.relays.close()
-        for guest in list(self.every.values()):
-            self._end(guest)
+        for session in list(self.open_sessions.values()):
+            self._end(session)
 
-    # What the sockets say.
+    # Socket events.
 
-    def _look_in(self, guest: Guest) -> bool:
-        """Whether its customer has said something, or left. What it said stays unread."""
+    def _check_first_bytes(self, session: ClientSession) -> bool:
+        """Whether the client has sent something or left; its data stays unread."""
         try:
-            event = Event.SPOKE if guest.sock.recv(1, socket.MSG_PEEK) else Event.LEFT
+            event = Event.SPOKE if session.sock.recv(1, socket.MSG_PEEK) else Event.LEFT
         except (BlockingIOError, InterruptedError):
             return False
         except OSError:
             event = Event.LEFT
-        self.loop.remove_reader(guest.sock.fileno())
-        self._move(clock(), guest, event)
+        self.loop.remove_reader(session.sock.fileno())
+        self._transition(clock(), session, event)
         return True
 
-    def _reached(self, guest: Guest) -> None:
-        """A connect has an outcome."""
-        assert guest.way is not None
-        self.loop.remove_writer(guest.way.fileno())
-        now, error = clock(), guest.way.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
-        place = self.places.get(guest.server)
-        if not error and place and guest.way.getsockname()[:2] == place.address:
+    def _connect_finished(self, session: ClientSession) -> None:
+        """Handle the result of a connect."""
+        assert session.upstream is not None
+        self.loop.remove_writer(session.upstream.fileno())
+        now, error = clock(), session.upstream.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
+        address = self.addresses.get(session.server)
+        if not error and address and session.upstream.getsockname()[:2] == address.address:
             error = (
                 errno.ECONNREFUSED
-            )  # nobody listens there: this machine gave us that very port, and it met itself
+            )  # a self-connect: nothing listens there, and the local port happens to be the same
         if error:
-            return self._unreached(now, guest, error)
-        self.connects.came(now, guest.number)
-        self._move(now, guest, Event.CONNECTED)
-        if self.connects.wanted:
-            self.poke()
+            return self._connect_failed(now, session, error)
+        self.connector.connected(now, session.number)
+        self._transition(now, session, Event.CONNECTED)
+        if self.connector.with_waiting:
+            self.wake()
 
-    def _unreached(self, now: float, guest: Guest, error: int) -> None:
+    def _connect_failed(self, now: float, session: ClientSession, error: int) -> None:
         logs.counters["node_connect_failed"] += 1
         logs.log_peer_fault(
-            "upstream_connect_failed", server=guest.server, reason=errno.errorcode.get(error, error)
+            "upstream_connect_failed", server=session.server, reason=errno.errorcode.get(error, error)
         )
-        self.connects.failed(now, guest.number)
-        self._drop_way(guest)
-        self._move(now, guest, Event.FAILED)
-        self.poke()
-
-    def _ended(self, guest: Guest) -> None:
-        """Its relay is over."""
-        self._move(clock(), guest, Event.ENDED)
+        self.connector.failed(now, session.number)
+        self._close_upstream(session)
+        self._transition(now, session, Event.FAILED)
+        self.wake()
+
+    def _relay_ended(self, session: ClientSession) -> None:
+        """Handle the end of a relay."""
+        self._transition(clock(), session, Event.ENDED)
         if self.table.waiting:
-            self.poke()
+            self.wake()
 
-    # The life of one connection.
+    # Transitions of one connection.
 
-    def _move(self, now: float, guest: Guest, event: Event) -> None:
-        before, step = guest.at, session_state.step(guest.at, event)
-        guest.at = step.at
-        if (what := COUNTED.get((before, event))) is not None:
+    def _transition(self, now: float, session: ClientSession, event: Event) -> None:
+        before, step = session.at, session_state.step(session.at, event)
+        session.at = step.at
+        if (what := CLOSE_COUNTERS.get((before, event))) is not None:
             logs.counters[what] += 1
         try:
             for do in step.out:
-                self.does[do](now, guest)
+                self.handlers[do](now, session)
         except Exception as error:
-            self._break(guest, error)
-        if guest.at is At.GONE:
-            self.every.pop(guest.number, None)
+            self._abort(session, error)
+        if session.at is At.GONE:
+            self.open_sessions.pop(session.number, None)
 
-    def _break(self, guest: Guest, error: Exception) -> None:
-        """An error that was not foreseen ends this one connection."""
+    def _abort(self, session: ClientSession, error: Exception) -> None:
+        """End one connection after an unexpected error."""
         logs.counters["node_guest_error"] += 1
-        logs.log_event(logging.ERROR, "client_session_failed", error, at=guest.at.name.lower())
-        self._end(guest)
-
-    def _end(self, guest: Guest) -> None:
-        """Whatever state it was left in."""
-        now, guest.at = clock(), At.GONE
-        self._give_back(now, guest)
-        self._close(now, guest)
-        self.every.pop(guest.number, None)
-
-    def _ask_place(self, now: float, guest: Guest) -> None:
-        assert guest.waiter is not None
-        self.table.first_bytes_received(now, guest.waiter)
-        self.poke()
-
-    def _ask_seat(self, now: float, guest: Guest) -> None:
-        guest.who = client_key(guest.service.told.tenant, guest.source)
-        look = select.poll()
-        look.register(guest.sock, 0)
-        if any(what & RESET for _, what in look.poll(0)):  # meanwhile: no connect for nobody
-            return self._move(now, guest, Event.LEFT)
-        self._seat(now, guest, self.seats.assign(now, guest.who))
-
-    def _ask_next(self, now: float, guest: Guest) -> None:
-        self.awake(now)
-        self._seat(now, guest, self.seats.connect_failed(now, guest.who, guest.server))
-
-    def _touch(self) -> None:
-        if not self.touched:
-            self.touched = True
-            self.poke()
-
-    def _seat(self, now: float, guest: Guest, seat: Assignment) -> None:
-        self.touched = True
+        logs.log_event(logging.ERROR, "client_session_failed", error, at=session.at.name.lower())
+        self._end(session)
+
+    def _end(self, session: ClientSession) -> None:
+        """End a connection in any state."""
+        now, session.at = clock(), At.GONE
+        self._give_back(now, session)
+        self._close(now, session)
+        self.open_sessions.pop(session.number, None)
+
+    def _ask_place(self, now: float, session: ClientSession) -> None:
+        assert session.waiter is not None
+        self.table.first_bytes_received(now, session.waiter)
+        self.wake()
+
+    def _ask_seat(self, now: float, session: ClientSession) -> None:
+        session.client = client_key(session.service.settings.tenant, session.source)
+        poll = select.poll()
+        poll.register(session.sock, 0)
+        if any(what & RESET for _, what in poll.poll(0)):  # the client has left meanwhile
+            return self._transition(now, session, Event.LEFT)
+        self._handle_assignment(now, session, self.affinity.assign(now, session.client))
+
+    def _ask_next(self, now: float, session: ClientSession) -> None:
+        self.detect_stall(now)
+        self._handle_assignment(
+            now, session, self.affinity.connect_failed(now, session.client, session.server)
+        )
+
+    def _mark_changed(self) -> None:
+        if not self.has_changes:
+            self.has_changes = True
+            self.wake()
+
+    def _handle_assignment(self, now: float, session: ClientSession, assignment: Assignment) -> None:
+        self.has_changes = True
         logs.log_event(
             logging.DEBUG,
             "session_assigned",
-            customer=guest.who,
-            server=seat.server,
-            reason=seat.reason.value,
+            customer=session.client,
+            server=assignment.server,
+            reason=assignment.reason.value,
         )
-        if seat.server:  # one that has gone since fails like one that is not reached: the next place is asked
-            guest.server = seat.server
-            self._move(now, guest, Event.SEATED)
-        elif seat.wait > 0 and seat.reason in FOR_ALL:
-            self.queue.append(guest)
-            self.queue_at = min(self.queue_at, now + seat.wait)
-        elif seat.wait > 0:
-            heappush(self.asks, (min(now + seat.wait, guest.let_in_at + self.patience), guest.number))
+        if assignment.server:  # if it has gone since, the connect fails and another one is assigned
+            session.server = assignment.server
+            self._transition(now, session, Event.SEATED)
+        elif assignment.wait > 0 and assignment.reason in SHARED_WAIT_REASONS:
+            self.queue.append(session)
+            self.queue_at = min(self.queue_at, now + assignment.wait)
+        elif assignment.wait > 0:
+            heappush(
+                self.retry_heap,
+                (min(now + assignment.wait, session.admitted_at + self.assignment_timeout), session.number),
+            )
         else:
-            self._move(now, guest, Event.UNSEATED)
+            self._transition(now, session, Event.UNSEATED)
 
-    def _ask_connect(self, now: float, guest: Guest) -> None:
-        if not self.connects.ask(now, guest.number, guest.server):
+    def _ask_connect(self, now: float, session: ClientSession) -> None:
+        if not self.connector.request(now, session.number, session.server):
             logs.counters["node_tries_over"] += 1
-            self._move(now, guest, Event.UNSEATED)
-        self.poke()
-
-    def _pass(self, now: float, guest: Guest) -> None:
-        assert guest.way is not None
-        self.awake(now)
-        self.seats.connection_opened(now, guest.who, guest.server)
-        self._touch()
+            self._transition(now, session, Event.UNSEATED)
+        self.wake()
+
+    def _pass(self, now: float, session: ClientSession) -> None:
+        assert session.upstream is not None
+        self.detect_stall(now)
+        self.affinity.connection_opened(now, session.client, session.server)
+        self._mark_changed()
         logs.counters["node_opened"] += 1
-        self.rates.opened(guest.service.told.tenant)
-        way, guest.way = guest.way, None
-        self.relays.begin(guest.sock, way, partial(self._ended, guest))
-
-    def _give_back(self, now: float, guest: Guest) -> None:
-        if guest.let_in_at:
-            guest.let_in_at = 0.0
-            self.table.release(guest.service.number)
-
-    def _leave_seat(self, now: float, guest: Guest) -> None:
-        self.seats.connection_closed(now, guest.who, guest.server)
-        self._touch()
-
-    def _close(self, now: float, guest: Guest) -> None:
-        """Nothing of it was read, so nothing ran: its customer may go elsewhere."""
-        if guest.waiter is not None:
-            self.table.remove(guest.waiter)
-            guest.waiter = None
-        self.connects.gone(guest.number)
-        self._drop_way(guest)
-        if guest.sock.fileno() >= 0:
-            self.loop.remove_reader(guest.sock.fileno())
-            relay.reset(guest.sock)
-
-    def _drop_way(self, guest: Guest) -> None:
-        if guest.way is not None:
-            self.loop.remove_writer(guest.way.fileno())
-            relay.reset(guest.way)
-            guest.way = None
-
-    # What is next.
-
-    def next(self, now: float) -> float:
-        """The next moment at which `settle` may do something though nothing was told."""
-        moments = [self.table.next_expiry(), self.connects.next(now), self.queue_at]
-        if self.asks:
-            moments.append(self.asks[0][0])
+        self.rates.opened(session.service.settings.tenant)
+        upstream, session.upstream = session.upstream, None
+        self.relays.start(session.sock, upstream, partial(self._relay_ended, session))
+
+    def _give_back(self, now: float, session: ClientSession) -> None:
+        if session.admitted_at:
+            session.admitted_at = 0.0
+            self.table.release(session.service.number)
+
+    def _leave_seat(self, now: float, session: ClientSession) -> None:
+        self.affinity.connection_closed(now, session.client, session.server)
+        self._mark_changed()
+
+    def _close(self, now: float, session: ClientSession) -> None:
+        """Close a connection of which nothing was read, so that the client can safely try elsewhere."""
+        if session.waiter is not None:
+            self.table.remove(session.waiter)
+            session.waiter = None
+        self.connector.forget(session.number)
+        self._close_upstream(session)
+        if session.sock.fileno() >= 0:
+            self.loop.remove_reader(session.sock.fileno())
+            relay.reset(session.sock)
+
+    def _close_upstream(self, session: ClientSession) -> None:
+        if session.upstream is not None:
+            self.loop.remove_writer(session.upstream.fileno())
+            relay.reset(session.upstream)
+            session.upstream = None
+
+    # Output.
+
+    def next_advance_at(self, now: float) -> float:
+        """The next time at which `advance` may do something without new input."""
+        moments = [self.table.next_expiry(), self.connector.next_advance_at(now), self.queue_at]
+        if self.retry_heap:
+            moments.append(self.retry_heap[0][0])
         return min(moments)
 
-    def settle(self, now: float) -> None:
+    def advance(self, now: float) -> None:
+        """Carry out what is due for all connections."""
         for waiter in self.table.expired(now):
-            guest: Guest = waiter.connection
-            if guest.at is At.SILENT and self._look_in(guest):  # this process is the one that was late
+            session: ClientSession = waiter.connection
+            if session.at is At.SILENT and self._check_first_bytes(
+                session
+            ):  # its data arrived while this process was stalled
                 continue
-            self._move(now, guest, Event.LATE)
-        self._ask_again(now)
+            self._transition(now, session, Event.LATE)
+        self._retry_assignments(now)
         while (let_in := self.table.admit_next()) is not None:
-            guest = let_in.connection
-            guest.waiter, guest.let_in_at = None, now
-            self._move(now, guest, Event.LET_IN)
-        for number in self.connects.late(now):
-            self._alone(now, self.every[number], self._late)
-        while actions := self.connects.settle(now):  # each guest has few tries
+            session = let_in.connection
+            session.waiter, session.admitted_at = None, now
+            self._transition(now, session, Event.LET_IN)
+        for number in self.connector.timed_out(now):
+            self._guarded(now, self.open_sessions[number], self._connect_timed_out)
+        while actions := self.connector.advance(now):  # sessions have few attempts
             for action in actions:
-                found = self.every.get(action.key)
+                found = self.open_sessions.get(action.key)
                 if found is None:
                     continue
                 if isinstance(action, Open):
-                    self._alone(now, found, self._connect)
+                    self._guarded(now, found, self._connect)
                 else:
-                    self._move(now, found, Event.FAILED)
+                    self._transition(now, found, Event.FAILED)
 
-    def _ask_again(self, now: float) -> None:
-        """Guests that wait for their seats, once their moment is there or something was heard."""
-        if self.queue and (self.news or now >= self.queue_at):
+    def _retry_assignments(self, now: float) -> None:
+        """Repeat assignments that are due, or all if the affinity table has new information."""
+        if self.queue and (self.has_news or now >= self.queue_at):
             waits, self.queue, self.queue_at = self.queue, deque(), float("inf")
-            while waits and not self.queue:  # the first one that waits on, and all behind it
-                self._again(now, waits.popleft())
+            while waits and not self.queue:  # until one has to wait again
+                self._retry_assignment(now, waits.popleft())
             self.queue.extend(waits)
-        self.news = False
-        while self.asks and self.asks[0][0] <= now:
-            if (guest := self.every.get(heappop(self.asks)[1])) is not None:
-                self._again(now, guest)
+        self.has_news = False
+        while self.retry_heap and self.retry_heap[0][0] <= now:
+            if (session := self.open_sessions.get(heappop(self.retry_heap)[1])) is not None:
+                self._retry_assignment(now, session)
 
-    def _again(self, now: float, guest: Guest) -> None:
-        if guest.at is not At.SEATING:
+    def _retry_assignment(self, now: float, session: ClientSession) -> None:
+        if session.at is not At.SEATING:
             return
-        if now >= guest.let_in_at + self.patience:
-            return self._move(now, guest, Event.LATE)
-        self._alone(now, guest, self._seat_again)
+        if now >= session.admitted_at + self.assignment_timeout:
+            return self._transition(now, session, Event.LATE)
+        self._guarded(now, session, self._assign_again)
 
-    def _seat_again(self, now: float, guest: Guest) -> None:
-        self._seat(now, guest, self.seats.assign(now, guest.who))
+    def _assign_again(self, now: float, session: ClientSession) -> None:
+        self._handle_assignment(now, session, self.affinity.assign(now, session.client))
 
-    def _alone(self, now: float, guest: Guest, do: Callable[[float, Guest], None]) -> None:
-        """An error with this one does not end the turn of all others."""
+    def _guarded(
+        self, now: float, session: ClientSession, do: Callable[[float, ClientSession], None]
+    ) -> None:
+        """Call a handler; an error ends only this connection."""
         try:
-            do(now, guest)
+            do(now, session)
         except Exception as error:
-            self._break(guest, error)
+            self._abort(session, error)
 
-    def _connect(self, now: float, guest: Guest) -> None:
-        place = self.places.get(guest.server)
-        if place is None:  # it is gone since
-            return self._unreached(now, guest, errno.EHOSTUNREACH)
+    def _connect(self, now: float, session: ClientSession) -> None:
+        address = self.addresses.get(session.server)
+        if address is None:  # it has gone since
+            return self._connect_failed(now, session, errno.EHOSTUNREACH)
         try:
-            sock = guest.way = socket.socket(place.family, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
-            relay.dress(sock)
-            error = sock.connect_ex(place.address)
+            sock = session.upstream = socket.socket(address.family, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
+            relay.configure_socket(sock)
+            error = sock.connect_ex(address.address)
         except OSError as failed:
             error = failed.errno or errno.EIO
-        if error in OURS:  # no app server is told of it
+        if error in LOCAL_ERRORS:  # not counted as a failure of the app server
             logs.counters["node_no_descriptor"] += 1
-            return self._move(now, guest, Event.UNSEATED)
+            return self._transition(now, session, Event.UNSEATED)
         if error not in (0, errno.EINPROGRESS):
-            return self._unreached(now, guest, error)
-        self.loop.add_writer(sock.fileno(), self._reached, guest)
-
-    def _late(self, now: float, guest: Guest) -> None:
-        """A connect is out for too long; but a node that stood still may not have heard of it yet."""
-        assert guest.way is not None
-        look = select.poll()
-        look.register(guest.way, select.POLLOUT)
-        if look.poll(0):
-            return self._reached(guest)
-        self._unreached(now, guest, errno.ETIMEDOUT)
+            return self._connect_failed(now, session, error)
+        self.loop.add_writer(sock.fileno(), self._connect_finished, session)
+
+    def _connect_timed_out(self, now: float, session: ClientSession) -> None:
+        """Handle a connect that took too long, unless its result arrived while this process was stalled."""
+        assert session.upstream is not None
+        poll = select.poll()
+        poll.register(session.upstream, select.POLLOUT)
+        if poll.poll(0):
+            return self._connect_finished(session)
+        self._connect_failed(now, session, errno.ETIMEDOUT)
--- a/thymeyoke/proxy/commands.py
+++ b/thymeyoke/proxy/commands.py
@@ -1,4 +1,4 @@
-"""`thymeyoke node`: one node. `thymeyoke moves show`: what the running node recommends, and why."""
+"""The commands `thymeyoke node` and `thymeyoke moves show`."""
 
 from __future__ import annotations
 
@@ -17,8 +17,9 @@
 @click.option("--log-level", default="info", type=click.Choice(["debug", "info", "warning", "error"]))
 @click.option("--log-form", default="text", type=click.Choice(["text", "json"]), help="key=value, or JSON.")
 def node(service_config: Path, log_level: str, log_form: str) -> None:
-    """Run one node until it is told to leave (SIGTERM): customers' connections come in at its service
-    addresses, and each goes on to its app server.
+    """Run one proxy node until it has drained (SIGTERM).
+
+    Clients connect to its service addresses, and it forwards each connection to an app server.
 
     \b
     Example: python -m thymeyoke node --service-config examples/fleet/node-1.ini
@@ -31,9 +32,9 @@
     from thymeyoke.runtime.extensions import HostConfigurationError
 
     try:
-        process.read(service_config)  # found good before anything is begun
+        process.read_config(service_config)  # check it before anything is started
         logs.configure_logging(log_level, log_form)
-        anyio.run(process.serve, partial(process.read, service_config))
+        anyio.run(process.serve, partial(process.read_config, service_config))
     except ServiceConfigError as error:
         raise click.ClickException(str(error)) from None
     except HostConfigurationError as error:
--- a/thymeyoke/proxy/configuration.py
+++ b/thymeyoke/proxy/configuration.py
@@ -1,4 +1,4 @@
-"""`[node]` and `[node.service TENANT]` of the operators' file, as typed values."""
+"""The sections `[node]` and `[node.service TENANT]` of the service configuration."""
 
 from __future__ import annotations
 
@@ -16,8 +16,10 @@
 
 
 class Service(Struct, frozen=True):
-    """Where one tenant's customers come in. With `standby` the node listens, and holds the tenant only once a
-    move brings it."""
+    """The address of one tenant's service.
+
+    With `standby` the node listens, but holds the tenant only after a migration.
+    """
 
     tenant: str
     address: Annotated[HostPort, Meta(description=HOST_PORT_DESCRIPTION)]
@@ -25,7 +27,7 @@
 
 
 class Node(Struct, frozen=True):
-    """One node. Times in seconds."""
+    """The settings of a node; times in seconds."""
 
     name: Name
     services: tuple[Service, ...]
@@ -37,7 +39,7 @@
         "a path of at most 100 characters for a Unix socket"))] = ""  # fmt: skip
 
     def lines(self) -> list[str]:
-        """For `check`: what is asked for."""
+        """Lines for `check` that describe the settings."""
         services = ", ".join(
             f"{one.tenant} at {one.address}{' (standby)' if one.standby else ''}" for one in self.services
         )
@@ -48,6 +50,7 @@
 
 
 def read_settings(file: ConfigFile) -> Node:
+    """Read and check the sections."""
     services = []
     for section in file.sections:
         if not section.startswith("node."):
@@ -65,7 +68,7 @@
             )
         services.append(file.read_section(section, Service, tenant=tenant))
     made = file.read_section("node", Node, services=tuple(services))
-    # What follows, and a tenant's name, is what others ask of a snapshot: one that fails is dropped whole.
+    # Other members check these limits too, and drop snapshots that violate them.
     if not made.name.isprintable():
         raise file.error("node", "name", f"{made.name!r} can't be printed; leave such characters out")
     if (many := sum(not one.standby for one in services)) > MAX_HELD_TENANTS:
--- a/thymeyoke/proxy/connection_admission.py
+++ b/thymeyoke/proxy/connection_admission.py
@@ -1,8 +1,8 @@
-"""What a proxy node holds at once, and which connection is admitted next.
+"""Decides how many connections a proxy node holds and which one is admitted next.
 
-Pure. The queue is the one of admission control: a line for each tenant, the oldest of a tenant within its
-quota first; where only tenants over their quota wait, the slot is lent to the oldest. docs/proxy.md has the
-rules as a table.
+No I/O. The queue is that of admission control: a line for each tenant, the oldest connection of a tenant
+within its quota first; if only tenants over their quota wait, the slot is lent to the oldest. docs/proxy.md
+has the rules as a table.
 """
 
 from __future__ import annotations
@@ -12,19 +12,19 @@
 from thymeyoke.admission.concurrency import QUOTA_SHARE
 from thymeyoke.admission.fair_queue import FairQueue, QueueKey
 
-SILENCE_TIMEOUT_SECONDS = 3.0  # in which a client sends something: twice what an app server waits for it
-SILENCE_GRACE_SECONDS = 0.5  # of them, in which it gives way to nobody: the way to it and back may be long
-QUEUE_TIMEOUT_SECONDS = 5.0  # that a client which has sent something waits for a slot
-PRIORITY_WEIGHT = 1.0  # all connections matter alike
+SILENCE_TIMEOUT_SECONDS = 3.0  # for the first data of a client; twice that of an app server
+SILENCE_GRACE_SECONDS = 0.5  # at first it is not evicted, as its round trip may be long
+QUEUE_TIMEOUT_SECONDS = 5.0  # for a client that has sent data
+PRIORITY_WEIGHT = 1.0  # all connections are equal
 
 
 class WaitingConnection:
-    """One connection that waits; `connection` is whoever asks for the slot."""
+    """A connection that waits for a slot; `connection` is the session that it belongs to."""
 
     __slots__ = ("arrived_at", "came_at", "connection", "expected_run_time", "is_queued", "queue_key")
 
     def __init__(self, now: float, tenant: int, connection: Any) -> None:
-        """It has sent nothing yet."""
+        """Create a waiting connection that has sent nothing yet."""
         self.connection, self.came_at, self.arrived_at = connection, now, now
         self.queue_key = QueueKey(tenant, PRIORITY_WEIGHT)
         self.expected_run_time, self.is_queued = 0.0, False
@@ -36,27 +36,30 @@
 
 
 class ConnectionTable:
-    """At most `max_connections` are held; as many may wait, the silent ones among them."""
+    """The connection slots of a node.
+
+    At most `max_connections` are held, and as many connections may wait, including silent ones.
+    """
 
     def __init__(self, max_connections: int) -> None:
-        """Nothing is held."""
+        """Create an empty table."""
         self.max_connections = max_connections
-        self.held_by_tenant: dict[int, int] = {}  # a tenant goes at zero
-        self.held = 0  # of all tenants
-        self.queue: FairQueue[WaitingConnection] = FairQueue()  # those that have sent something
-        self.waiting_by_tenant: dict[int, dict[WaitingConnection, None]] = {}  # silent ones as well
+        self.held_by_tenant: dict[int, int] = {}  # without zeros
+        self.held = 0  # total
+        self.queue: FairQueue[WaitingConnection] = FairQueue()  # connections that have sent data
+        self.waiting_by_tenant: dict[int, dict[WaitingConnection, None]] = {}  # including silent ones
         self.waiting = 0
-        self.silent: dict[WaitingConnection, None] = {}  # in the order of their coming
+        self.silent: dict[WaitingConnection, None] = {}  # oldest first
 
     @property
     def quota(self) -> float:
-        """What a tenant gets of a full table while others wait, and of a full waiting room."""
+        """The share of a tenant in a full table while others wait, and in a full queue."""
         return max(1.0, self.max_connections * QUOTA_SHARE)
 
     def add(
         self, now: float, tenant: int, connection: Any
     ) -> tuple[WaitingConnection | None, WaitingConnection | None]:
-        """A new connection: its wait, or None where it is closed at once; and the one closed for it."""
+        """Add a new connection; return it, or None if it is to be closed, and one to evict for it."""
         evicted = None
         if self.waiting >= self.max_connections:
             if (evicted := self._pick_victim(now, tenant)) is None:
@@ -69,10 +72,11 @@
         return waiter, evicted
 
     def _pick_victim(self, now: float, tenant: int) -> WaitingConnection | None:
-        """Which waiting connection is closed for one of this tenant.
+        """The waiting connection to close for a new one of this tenant, if any.
 
-        The one that has been silent for longest, so that a flood of silent ones keeps out nobody who speaks.
-        Where none has been for long, the newest of the tenant that has the most waiting, if that is more.
+        The one that has been silent for longest, so that silent connections cannot keep out others. If none
+        has been silent for long, the newest of the tenant with the most waiting connections, if it has more
+        than this tenant.
         """
         silent = next(iter(self.silent), None)
         if silent is not None and now >= silent.came_at + SILENCE_GRACE_SECONDS:
@@ -84,13 +88,13 @@
         return next(reversed(largest)) if own < len(largest) else None
 
     def first_bytes_received(self, now: float, waiter: WaitingConnection) -> None:
-        """It is not silent any more: from now on it stands in its tenant's line."""
+        """Move a connection that is no longer silent to its tenant's line."""
         del self.silent[waiter]
         waiter.arrived_at = now
         self.queue.add(waiter)
 
     def remove(self, waiter: WaitingConnection) -> None:
-        """It waits no longer."""
+        """Remove a waiting connection."""
         if waiter.is_queued:
             self.queue.remove(waiter)
         self.silent.pop(waiter, None)
@@ -112,14 +116,14 @@
         return waiter
 
     def release(self, tenant: int) -> None:
-        """A held connection of this tenant has ended."""
+        """Release the slot of a held connection."""
         self.held -= 1
         self.held_by_tenant[tenant] -= 1
         if not self.held_by_tenant[tenant]:
             del self.held_by_tenant[tenant]
 
     def expired(self, now: float) -> list[WaitingConnection]:
-        """Connections whose time is over. They wait on until they are removed."""
+        """Waiting connections whose time is over; they stay until they are removed."""
         found = []
         for waiter in self.silent:
             if now < waiter.came_at + SILENCE_TIMEOUT_SECONDS:
@@ -133,7 +137,7 @@
         return found
 
     def next_expiry(self) -> float:
-        """The moment from which on `expired` may name one."""
+        """The time from which `expired` may return a connection."""
         silent = next(iter(self.silent), None)
         moments = [line[0].arrived_at + QUEUE_TIMEOUT_SECONDS for line in self.queue.lines.values()]
         return min([*moments, silent.came_at + SILENCE_TIMEOUT_SECONDS if silent else float("inf")])
--- a/thymeyoke/proxy/listener.py
+++ b/thymeyoke/proxy/listener.py
@@ -1,4 +1,4 @@
-"""A listener for one tenant: takes connections, looks at none."""
+"""The listener of one tenant, which accepts connections without reading from them."""
 
 from __future__ import annotations
 
@@ -11,106 +11,116 @@
 from thymeyoke.runtime import logs
 from thymeyoke.runtime.extensions import HostConfigurationError
 
-ACCEPTS = 64  # in one turn of the event loop
-ACCEPT_PAUSE = 0.05  # seconds after a failed accept
+ACCEPTS_PER_TURN = 64  # per iteration of the event loop
+ACCEPT_BACKOFF_SECONDS = 0.05  # after a failed accept
 
 
 class Service:
-    """`number` is the tenant's, at this node. `taken` gets each connection and where it comes from."""
+    """One tenant's service.
+
+    `number` is the tenant's number at this node, and `on_accept` gets each connection and its source address.
+    """
 
     def __init__(
-        self, told: configuration.Service, number: int, taken: Callable[[Service, socket.socket, str], None]
+        self,
+        settings: configuration.Service,
+        number: int,
+        on_accept: Callable[[Service, socket.socket, str], None],
     ) -> None:
-        self.told, self.number, self.taken = told, number, taken
-        self.door: socket.socket | None = None
-        self.again: asyncio.TimerHandle | None = None
+        self.settings, self.number, self.on_accept = settings, number, on_accept
+        self.listener: socket.socket | None = None
+        self.resume_timer: asyncio.TimerHandle | None = None
         self.backlog = 0
         self.loop: asyncio.AbstractEventLoop | None = None  # while it runs
 
     def open(self, backlog: int) -> None:
-        """Customers that come all at once wait in the queue, as many as there is room for later. `Refused`
-        where the address can't be had."""
-        where = self.told.address
-        door: socket.socket | None = None
+        """Bind the address; raises `HostConfigurationError` if it is not available.
+
+        The backlog has room for as many connections as the node may hold, for clients that connect at the
+        same time.
+        """
+        address = self.settings.address
+        listener: socket.socket | None = None
         try:
-            family = socket.AF_INET if where.ip.version == 4 else socket.AF_INET6
-            door = socket.socket(family, socket.SOCK_STREAM)
-            door.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-            if where.ip.version == 6:
-                door.setsockopt(socket.IPPROTO_IPV6, socket.IPV6_V6ONLY, 1)
-            relay.dress(door)
-            door.bind((str(where.ip), where.port))
-            door.listen(backlog)
-            door.setblocking(False)
+            family = socket.AF_INET if address.ip.version == 4 else socket.AF_INET6
+            listener = socket.socket(family, socket.SOCK_STREAM)
+            listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+            if address.ip.version == 6:
+                listener.setsockopt(socket.IPPROTO_IPV6, socket.IPV6_V6ONLY, 1)
+            relay.configure_socket(listener)
+            listener.bind((str(address.ip), address.port))
+            listener.listen(backlog)
+            listener.setblocking(False)
         except OSError as error:
-            if door is not None:
-                door.close()
+            if listener is not None:
+                listener.close()
             raise HostConfigurationError(
-                f"[node.service {self.told.tenant}] address: {where} can't be listened on "
+                f"[node.service {self.settings.tenant}] address: {address} can't be listened on "
                 f"({error.strerror}); give a free one of this machine"
             ) from None
-        self.door, self.backlog = door, backlog
+        self.listener, self.backlog = listener, backlog
 
     def take_over(self, other: Service) -> None:
-        """Its listener and queue: the address stays, though what is told of it may differ."""
-        other.rest()
-        self.door, self.backlog, other.door = other.door, other.backlog, None
-
-    def rest(self) -> None:
-        """Take nothing for now."""
-        if self.again is not None:
-            self.again.cancel()
-            self.again = None
-        if self.door is not None and self.loop is not None:
-            self.loop.remove_reader(self.door.fileno())
+        """Take over the listener and backlog of another service with the same address."""
+        other.pause()
+        self.listener, self.backlog, other.listener = other.listener, other.backlog, None
+
+    def pause(self) -> None:
+        """Stop accepting for now."""
+        if self.resume_timer is not None:
+            self.resume_timer.cancel()
+            self.resume_timer = None
+        if self.listener is not None and self.loop is not None:
+            self.loop.remove_reader(self.listener.fileno())
 
     def run(self, loop: asyncio.AbstractEventLoop) -> None:
-        self.loop, self.again = loop, None
-        if self.door is not None:
-            loop.add_reader(self.door.fileno(), self._accept)
+        """Start accepting."""
+        self.loop, self.resume_timer = loop, None
+        if self.listener is not None:
+            loop.add_reader(self.listener.fileno(), self._accept)
 
-    def shut(self) -> None:
-        """Close it, with nobody in its queue: they came in time."""
-        if self.door is None:
+    def close(self) -> None:
+        """Accept the connections in the backlog, which arrived in time, then close the listener."""
+        if self.listener is None:
             return
-        self.rest()
+        self.pause()
         if self.loop is not None:
             for _ in range(self.backlog):
-                if not self._let_in():
+                if not self._accept_one():
                     break
-        door, self.door = self.door, None
-        door.close()
+        listener, self.listener = self.listener, None
+        listener.close()
 
     def _accept(self) -> None:
-        for _ in range(ACCEPTS):
-            if self.door is None or not self._let_in():
+        for _ in range(ACCEPTS_PER_TURN):
+            if self.listener is None or not self._accept_one():
                 return
 
-    def _let_in(self) -> bool:
-        """Whether there may be another one."""
-        assert self.door is not None
+    def _accept_one(self) -> bool:
+        """Accept one connection; return whether there may be more."""
+        assert self.listener is not None
         try:
-            accepted, source = self.door.accept()
+            accepted, source = self.listener.accept()
         except (BlockingIOError, InterruptedError):
             return False
         except ConnectionAbortedError:
             return True
-        except OSError as error:  # no descriptors
+        except OSError as error:  # out of descriptors
             logs.counters["node_accept_failed"] += 1
-            logs.log_peer_fault("accept_failed", tenant=self.told.tenant, reason=error)
-            self._pause()
+            logs.log_peer_fault("accept_failed", tenant=self.settings.tenant, reason=error)
+            self._pause_after_error()
             return False
         try:
             accepted.setblocking(False)
-            self.taken(self, accepted, source[0])
-        except Exception as error:  # one connection's trouble is not the listener's
+            self.on_accept(self, accepted, source[0])
+        except Exception as error:  # an error with one connection must not stop the listener
             logs.counters["node_accept_error"] += 1
-            logs.log_event(logging.ERROR, "accept_handler_failed", error, tenant=self.told.tenant)
+            logs.log_event(logging.ERROR, "accept_handler_failed", error, tenant=self.settings.tenant)
             accepted.close()
         return True
 
-    def _pause(self) -> None:
-        """The listener stays readable: to look at once again would be a loop that does nothing else."""
-        if self.door is not None and self.loop is not None and self.again is None:
-            self.loop.remove_reader(self.door.fileno())
-            self.again = self.loop.call_later(ACCEPT_PAUSE, self.run, self.loop)
+    def _pause_after_error(self) -> None:
+        """Pause after a failed accept, as the listener stays readable and retrying would be a busy loop."""
+        if self.listener is not None and self.loop is not None and self.resume_timer is None:
+            self.loop.remove_reader(self.listener.fileno())
+            self.resume_timer = self.loop.call_later(ACCEPT_BACKOFF_SECONDS, self.run, self.loop)
--- a/thymeyoke/proxy/migration_adapter.py
+++ b/thymeyoke/proxy/migration_adapter.py
@@ -18,100 +18,116 @@
     from thymeyoke.migration.controller import MigrationCoordinator
 
 
-class Moving:
-    """`low`: tenants that are announced `less` preferred, or `withdrawn`; all others go out in full."""
+class MigrationAdapter:
+    """The tenants of this node and their announcement levels.
 
-    def __init__(self, now: float, me: str) -> None:
-        self.me = me
-        self.low: dict[str, str] = {}  # as long as the file has the tenant
-        self.rising: set[str] = set()  # brought by a move, and not yet announced in full
+    `lowered_levels` has the tenants announced as `less` preferred or `withdrawn`; all others have full
+    preference.
+    """
+
+    def __init__(self, now: float, own_name: str) -> None:
+        self.own_name = own_name
+        self.lowered_levels: dict[str, str] = {}  # only configured tenants
+        self.rising: set[str] = set()  # arrived by a move, and not yet announced with full preference
         self.coordinator: MigrationCoordinator | None = None
-        self.own: tuple[str, ...] = ()
-        self.told: frozenset[str] = frozenset()  # by the last snapshot, MAX_HELD_TENANTS of them
-        self.untold: frozenset[str] = frozenset()  # held besides
-        self.at = now  # when to settle though nothing was seen
-        self.seen = False
-
-    def change(self, now: float, told: Moves | None, services: Iterable[Service]) -> None:
-        """The operators' file, at the start and read anew."""
-        there = list(services)
-        self.own = tuple(sorted(one.tenant for one in there if not one.standby))
-        can, own = frozenset(one.tenant for one in there), frozenset(self.own)
-        if told is None:
-            self.coordinator, self.low = None, dict.fromkeys(can - own, "withdrawn")
+        self.configured: tuple[str, ...] = ()
+        self.announced: frozenset[str] = frozenset()  # listed in the last snapshot
+        self.unannounced: frozenset[str] = frozenset()  # held but not listed
+        self.next_advance = now  # when to advance without a new view
+        self.has_new_view = False
+
+    def reconfigure(self, now: float, settings: Moves | None, services: Iterable[Service]) -> None:
+        """Apply the configuration, at the start and after a reload."""
+        services_list = list(services)
+        self.configured = tuple(sorted(one.tenant for one in services_list if not one.standby))
+        eligible, configured = frozenset(one.tenant for one in services_list), frozenset(self.configured)
+        if settings is None:
+            self.coordinator, self.lowered_levels = None, dict.fromkeys(eligible - configured, "withdrawn")
             return
         from thymeyoke.migration.controller import MigrationCoordinator
 
-        terms = told.terms
+        terms = settings.terms
         if self.coordinator is None:
-            self.coordinator, self.low = (
-                MigrationCoordinator(now, self.me, terms, can, own),
-                dict.fromkeys(can - own, "withdrawn"),
+            self.coordinator, self.lowered_levels = (
+                MigrationCoordinator(now, self.own_name, terms, eligible, configured),
+                dict.fromkeys(eligible - configured, "withdrawn"),
             )
         else:
-            for tenant in can - own - self.coordinator.eligible:
-                self.low[tenant] = "withdrawn"
-            self.coordinator.reconfigure(now, terms, can, own)
-            self.low = {tenant: level for tenant, level in self.low.items() if tenant in can}
-        self.at = now
+            for tenant in eligible - configured - self.coordinator.eligible:
+                self.lowered_levels[tenant] = "withdrawn"
+            self.coordinator.reconfigure(now, terms, eligible, configured)
+            self.lowered_levels = {
+                tenant: level for tenant, level in self.lowered_levels.items() if tenant in eligible
+            }
+        self.next_advance = now
 
     def holds(self) -> tuple[str, ...]:
-        """Tenants whose address is this node's own, for its snapshot, which others drop whole where it names
-        over MAX_HELD_TENANTS. One that a move brings counts once it is announced in full: its source goes
-        less preferred with that. Past the bound those stay that were told, then those of the file come: a
-        source
-        that does not hear of its tenant takes it back."""
-        held = frozenset(self.own) if self.coordinator is None else self.coordinator.holds - self.rising
-        order = sorted(held, key=lambda one: (one not in self.told, one not in self.own, one))
-        self.told, self.untold = frozenset(order[:MAX_HELD_TENANTS]), frozenset(order[MAX_HELD_TENANTS:])
-        return tuple(sorted(self.told))
+        """The tenants to list in this node's snapshot, at most MAX_HELD_TENANTS.
+
+        Longer snapshots are dropped by others. A tenant gained by a move counts once it is announced with
+        full preference, since its source is depreferred after that. Beyond the limit tenants already listed
+        stay, followed by configured ones: a source that does not see its tenant listed takes it back.
+        """
+        held = (
+            frozenset(self.configured) if self.coordinator is None else self.coordinator.holds - self.rising
+        )
+        order = sorted(held, key=lambda one: (one not in self.announced, one not in self.configured, one))
+        self.announced, self.unannounced = (
+            frozenset(order[:MAX_HELD_TENANTS]),
+            frozenset(order[MAX_HELD_TENANTS:]),
+        )
+        return tuple(sorted(self.announced))
 
     @property
     def full(self) -> bool:
-        """Whether no move may bring one more. The last one that comes counts once it is over: till then its
-        source asks for room."""
+        """Whether no more tenants may arrive.
+
+        The last one counts once its move is over; until then its source needs room.
+        """
         return (
             self.coordinator is not None
             and len(self.coordinator.holds) >= MAX_HELD_TENANTS
             and not any(state.is_arriving for state in self.coordinator.tenant_states.values())
         )
 
-    def risen(self, in_full: Callable[[str], bool]) -> bool:
-        """Whether any tenant is announced in full now that was not before."""
+    def update_rising(self, in_full: Callable[[str], bool]) -> bool:
+        """Whether any tenant has newly reached full preference."""
         up = {tenant for tenant in self.rising if in_full(tenant)}
         self.rising -= up
         return bool(up)
 
-    def saw(self, now: float, view: View) -> None:
+    def observe(self, now: float, view: View) -> None:
+        """Take in a new view of the fleet."""
         if self.coordinator is not None:
             self.coordinator.observe(now, view)
-            self.seen = True
+            self.has_new_view = True
 
-    def settle(self, now: float) -> dict[str, str]:
-        """By tenant, the levels that changed: full, less or withdrawn."""
-        if self.coordinator is None or not (self.seen or now >= self.at):
+    def advance(self, now: float) -> dict[str, str]:
+        """The announcement levels that have changed, by tenant: full, less or withdrawn."""
+        if self.coordinator is None or not (self.has_new_view or now >= self.next_advance):
             return {}
-        self.seen = False
+        self.has_new_view = False
         changed = {one.tenant: one.level_name for one in self.coordinator.advance(now)}
         for tenant, level in changed.items():
-            self.low.pop(tenant, None)
+            self.lowered_levels.pop(tenant, None)
             self.rising.discard(tenant)
             if level != "full":
-                self.low[tenant] = level
-            elif tenant not in self.own:  # its own were announced from the start
+                self.lowered_levels[tenant] = level
+            elif tenant not in self.configured:  # configured ones are announced from the start
                 self.rising.add(tenant)
-        self.at = self.coordinator.next_advance_at(now)
+        self.next_advance = self.coordinator.next_advance_at(now)
         return changed
 
-    def next(self) -> float:
-        return float("inf") if self.coordinator is None else self.at
+    def next_advance_at(self) -> float:
+        """The next time at which `advance` may return something without a new view."""
+        return float("inf") if self.coordinator is None else self.next_advance
 
     def parts(self, now: float) -> dict[str, bytes]:
-        """For this node's snapshot."""
+        """The announcement for this node's snapshot."""
         return {} if self.coordinator is None else {"moves": self.coordinator.encoded_part(now)}
 
-    def counted(self) -> Counter[str]:
-        """What happened since this was asked last."""
+    def take_counts(self) -> Counter[str]:
+        """Take the counts of events since the last call."""
         if self.coordinator is None:
             return Counter()
         found = Counter(self.coordinator.counts)
@@ -120,10 +136,10 @@
 
     def status(self, now: float) -> dict[str, Any]:
         """Plain values for `moves show`."""
-        holds = sorted({*self.holds(), *self.untold})
-        told: dict[str, Any] = {"holds": holds, "moves": self.coordinator is not None}
+        holds = sorted({*self.holds(), *self.unannounced})
+        status: dict[str, Any] = {"holds": holds, "moves": self.coordinator is not None}
         if self.coordinator is not None:
             from thymeyoke.migration import presentation
 
-            told |= presentation.status(self.coordinator, now)
-        return told
+            status |= presentation.status(self.coordinator, now)
+        return status
--- a/thymeyoke/proxy/process.py
+++ b/thymeyoke/proxy/process.py
@@ -1,7 +1,7 @@
-"""One node: its actors, put together and run until it has left.
+"""One proxy node: creates its actors and runs them until it has drained.
 
-`Guests` has the customers' connections, `MembershipService` the members; `AffinityTable` and `Moving` decide
-with them. One loop looks at all of them and carries out what they say.
+`ClientSessions` handles the clients' connections and `MembershipService` the membership; `AffinityTable` and
+`MigrationAdapter` make the decisions. One loop polls all of them and carries out what they return.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 from anyio.abc import TaskGroup, TaskStatus
 from msgspec import structs
 
-from thymeyoke.affinity import wire as words
+from thymeyoke.affinity import wire as affinity_wire
 from thymeyoke.affinity.controller import AffinityTable, HandedOver, Joined, SendMessage
 from thymeyoke.configuration import service_config
 from thymeyoke.configuration.service_config import HostPort, ServiceConfig
@@ -33,81 +33,92 @@
 from thymeyoke.membership.transport import NODE_LINKS
 from thymeyoke.membership.view import Member, Snapshot, State
 from thymeyoke.proxy import relay
-from thymeyoke.proxy.client_session import Guests, Place
-from thymeyoke.proxy.configuration import Node as Told
+from thymeyoke.proxy.client_session import ClientSessions, UpstreamAddress
+from thymeyoke.proxy.configuration import Node as NodeSettings
 from thymeyoke.proxy.listener import Service
-from thymeyoke.proxy.migration_adapter import Moving
+from thymeyoke.proxy.migration_adapter import MigrationAdapter
 from thymeyoke.runtime import early_signals, extensions, logs, status_socket
 from thymeyoke.runtime.clock import clock
 from thymeyoke.runtime.extensions import DrainStarted, HostConfigurationError, ServerStatus, StatusQuery
 
-LOOK = 0.5  # seconds between figures that are said, at the most
-COUNTS_PERIOD = 10.0
-SPARE_DESCRIPTORS = 64  # for the interpreter, the log, the control socket and what is announced
-EXCEPTIONS = 32  # seats kept as exceptions, for each connection that the table holds
-SEATS_SOON = 0.005  # seconds between two looks at what seats want told, at the least
-SEATS_LATE = 0.05  # and at the most, once they were told something
-DOOR_PART, DOOR_LEAST = 1 / 8, 1.0  # of the linger, and seconds: how long a drain still takes connections
-STAY_LEAST = 5.0  # seconds that connections go on after that, at the least; else a linger
-FAREWELL = 0.5  # seconds in which the last words go out
-AGAIN = 0.1  # seconds until the loop goes on after an error
-STEP = 0.002  # seconds between two turns of the loop that nothing pokes, at the least
-GARBAGE = (10000, 10, 10)  # as for a server: connections leave no cycles behind
-DESK = 16
-FOR_SERVERS = ("ledger",)  # sections that are none of a node's
-BEHIND = ("announce",)  # those that stand behind a node's loop as behind a server's desk
-
-
-class Side(NamedTuple):
-    """An actor that begins anew after an error."""
+REPORT_INTERVAL_SECONDS = 0.5  # seconds between published figures
+COUNTERS_PERIOD_SECONDS = 10.0
+SPARE_DESCRIPTORS = 64  # for the interpreter, the log, the control socket and BGP
+BINDINGS_PER_CONNECTION = 32  # maximum bindings per connection of the table
+MIN_AFFINITY_INTERVAL_SECONDS = 0.005  # minimum seconds between two runs of the affinity table
+MAX_AFFINITY_DELAY_SECONDS = 0.05  # maximum delay after a change
+LISTENER_GRACE_SHARE, MIN_LISTENER_GRACE_SECONDS = (
+    1 / 8,
+    1.0,
+)  # of the idle timeout; how long a drain accepts connections
+MIN_DRAIN_SECONDS = 5.0  # minimum seconds for open connections after that, else the idle timeout
+FAREWELL_TIMEOUT_SECONDS = 0.5  # seconds for sending the last messages
+RESTART_BACKOFF_SECONDS = 0.1  # seconds until the loop continues after an error
+MIN_LOOP_INTERVAL_SECONDS = 0.002  # minimum seconds between two iterations of the loop that is not woken
+GC_THRESHOLDS = (10000, 10, 10)  # as for a server; connections create no reference cycles
+STATUS_QUEUE_SIZE = 16
+SERVER_SECTIONS = ("ledger",)  # sections that a node does not have
+EXTENSION_SECTIONS = ("announce",)  # sections of extensions that a node can have
+
+
+class RestartingActor(NamedTuple):
+    """An actor that is restarted after an error."""
 
     name: str
     run: Callable[[], Any]
 
 
-# The file.
+# Configuration.
 
 
-def read(path: Path) -> ServiceConfig:
-    """The operators' file of a node, found good for this machine as well: `BadOrders` or `Refused` else."""
-    asked = service_config.read_service_config(path)
-    probe(asked)
-    return asked
+def read_config(path: Path) -> ServiceConfig:
+    """Read a node's service configuration and check that this machine supports it.
 
+    Raises `ServiceConfigError` or `HostConfigurationError`.
+    """
+    config = service_config.read_service_config(path)
+    check_config(config)
+    return config
 
-def probe(asked: ServiceConfig) -> None:
-    if "node" not in asked:
+
+def check_config(config: ServiceConfig) -> None:
+    """Check that the configuration is a node's and that this machine supports it."""
+    if "node" not in config:
         raise HostConfigurationError("has no [node]; add it, or start an app server with `thymeyoke serve`")
-    for name in FOR_SERVERS:
-        if name in asked:
+    for name in SERVER_SECTIONS:
+        if name in config:
             raise HostConfigurationError(
                 f"[{name}] is for an app server, started by `thymeyoke serve`; a node has none"
             )
-    told: Told = asked["node"]
-    need, most = descriptors(told), resource.getrlimit(resource.RLIMIT_NOFILE)[1]
+    settings: NodeSettings = config["node"]
+    need, most = required_descriptors(settings), resource.getrlimit(resource.RLIMIT_NOFILE)[1]
     if most != resource.RLIM_INFINITY and need > most:
-        room = (most - descriptors(structs.replace(told, connections=0))) * 4 // 13
+        room = (most - required_descriptors(structs.replace(settings, connections=0))) * 4 // 13
         raise HostConfigurationError(
-            f"[node] connections: {told.connections} need {need} descriptors, and this process may have "
+            f"[node] connections: {settings.connections} need {need} descriptors, and this process may have "
             + f"{most}; "
             + (f"give at most {room}" if room > 0 else "let it have more")
         )
-    extensions.check_host(_sides(asked))
+    extensions.check_host(_extension_sections(config))
+
 
+def required_descriptors(settings: NodeSettings) -> int:
+    """The number of descriptors that may be open at once.
 
-def descriptors(told: Told) -> int:
-    """How many it may have open at once: two a connection held, one that waits, one that gets the rest of its
-    answer, one a listener, the links of members, and some."""
-    ends = 3 * told.connections + relay.rests_most(told.connections)
-    return ends + len(told.services) + SPARE_DESCRIPTORS + sum(NODE_LINKS)
+    Each held connection takes two, a waiting one takes one, and so does one that still gets the rest of its
+    answer; listeners, membership links and a reserve are added.
+    """
+    ends = 3 * settings.connections + relay.max_lingering(settings.connections)
+    return ends + len(settings.services) + SPARE_DESCRIPTORS + sum(NODE_LINKS)
 
 
-def _sides(asked: ServiceConfig) -> ServiceConfig:
-    return {name: asked[name] for name in BEHIND if name in asked}
+def _extension_sections(config: ServiceConfig) -> ServiceConfig:
+    """The sections of the configuration that belong to extensions."""
+    return {name: config[name] for name in EXTENSION_SECTIONS if name in config}
 
 
-def _listened(where: HostPort) -> None:
-    """Whether members can come in there: asked before anything is begun."""
+def _check_address(where: HostPort) -> None:
+    """Check that the membership address can be bound, before anything is started."""
     with socket.socket(socket.AF_INET if where.ip.version == 4 else socket.AF_INET6) as sock:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         try:
@@ -119,461 +130,546 @@
             ) from None
 
 
-def _shut(services: dict[str, Service]) -> None:
+def _close_listeners(services: dict[str, Service]) -> None:
     for service in services.values():
-        service.shut()
+        service.close()
+
 
+def _upstream_address(member: Member) -> UpstreamAddress | None:
+    """The address of an app server; None if its snapshot has none or an invalid one ("localhost:4100").
 
-def _place(member: Member) -> Place | None:
-    """One that listens on all addresses of its machine is reached where its snapshots come in. None where it
-    names no address ("localhost:4100"), or one that can't be read."""
+    A server that listens on all addresses is reached at the address of its membership.
+    """
     try:
         where = HostPort.parse(member.snapshot.serves)
         ip = HostPort.parse(member.snapshot.address).ip if where.ip.is_unspecified else where.ip
     except ValueError:
         return None
-    return Place(socket.AF_INET if ip.version == 4 else socket.AF_INET6, (str(ip), where.port))
+    return UpstreamAddress(socket.AF_INET if ip.version == 4 else socket.AF_INET6, (str(ip), where.port))
 
 
-class Node:
-    """All of one node."""
+class ProxyNode:
+    """A proxy node with all its parts."""
 
-    def __init__(self, asked: ServiceConfig, seed: int) -> None:
-        told: Told = asked["node"]
-        self.told, self.asked, self.seed = told, asked, seed
+    def __init__(self, config: ServiceConfig, seed: int) -> None:
+        settings: NodeSettings = config["node"]
+        self.settings, self.config, self.seed = settings, config, seed
         self.loop = asyncio.get_running_loop()
         now = clock()
-        self.poked = anyio.Event()
-        self.seats = AffinityTable(now, told.name, told.linger, EXCEPTIONS * told.connections)
+        self.wakeup = anyio.Event()
+        self.affinity = AffinityTable(
+            now, settings.name, settings.linger, BINDINGS_PER_CONNECTION * settings.connections
+        )
         if logs.logger.isEnabledFor(logging.DEBUG):
-            self.seats.log_events = []
-        self.guests = Guests(told.connections, self.seats, Random(seed), self.loop, self.poke, self._awake)
-        self.moving = Moving(now, told.name)
+            self.affinity.log_events = []
+        self.sessions = ClientSessions(
+            settings.connections, self.affinity, Random(seed), self.loop, self.wake, self._detect_stall
+        )
+        self.migration = MigrationAdapter(now, settings.name)
         self.services: dict[str, Service] = {}  # by tenant
-        self.tenants: dict[str, int] = {}  # numbers of tenants: as many as the operators ever named
-        self.moved = True  # the view's version did
-        self.look_at = self.counts_at = self.step_at = self.seats_at = now
-        self.ready = self.handed = False  # the seats are known here; and handed over
-        self.door_at = self.end_at = float("inf")  # of a drain
-        self.woke_at = float("-inf")  # from the last standstill that seats were told of
-        self.refused = ""  # why it can't go on: one sentence
+        self.tenant_numbers: dict[str, int] = {}  # numbers of all tenants ever configured
+        self.has_new_view = True  # whether the view has changed
+        self.next_report_at = self.next_counters_at = self.next_step_at = self.next_affinity_at = now
+        self.has_joined = self.has_handed_over = False  # joined; bindings handed over
+        self.listener_closes_at = self.end_at = float("inf")  # of the drain
+        self.resumed_at = float("-inf")  # end of the last stall reported to the affinity table
+        self.fatal_error = ""  # why the node cannot continue
         self.tasks: TaskGroup
 
-        members: Members = asked["members"]
+        members: Members = config["members"]
         own = Snapshot(
-            told.name, True, incarnation(), 0, State.COLD, str(members.address), room=told.connections
+            settings.name, True, incarnation(), 0, State.COLD, str(members.address), room=settings.connections
+        )
+        self.membership = MembershipService(members, own, seed)
+        self.membership.changed = self._view_changed
+        self.membership.add_receiver("seats", self._receive_affinity)
+        status_queries, self.status_queries = anyio.create_memory_object_stream[StatusQuery](
+            STATUS_QUEUE_SIZE
+        )
+        self.extension_context = extensions.ExtensionContext(
+            seed, status_queries, settings.name, RequestNames({}, {}), Address("", 0)
+        )
+        self.active_extensions = extensions.create_extensions(
+            _extension_sections(config), self.extension_context
         )
-        self.fleet = MembershipService(members, own, seed)
-        self.fleet.changed = self._changed
-        self.fleet.add_receiver("seats", self._heard)
-        desk, self.desk = anyio.create_memory_object_stream[StatusQuery](DESK)
-        self.around = extensions.ExtensionContext(seed, desk, told.name, RequestNames({}, {}), Address("", 0))
-        self.sides = extensions.create_extensions(_sides(asked), self.around)
 
-    # The start.
+    # Start.
 
     def open(self) -> None:
-        """All that this machine could refuse, before anything is begun; `Refused` with one sentence."""
-        if status_socket.is_listening(self.control):
+        """Acquire everything that this machine could refuse; raises `HostConfigurationError` otherwise."""
+        if status_socket.is_listening(self.control_path):
             raise HostConfigurationError(
-                f"[node] name: another node answers at {self.control}; give each node a name of "
+                f"[node] name: another node answers at {self.control_path}; give each node a name of "
                 f"its own, or its own control"
             )
-        _listened(self.asked["members"].address)
-        self._limits(self.told)
-        self._serve(self._opened(self.told))
-        self._announce(clock())
+        _check_address(self.config["members"].address)
+        self._raise_descriptor_limit(self.settings)
+        self._replace_services(self._open_services(self.settings))
+        self._apply_migration_config(clock())
 
     @property
-    def control(self) -> Path:
-        return status_socket.socket_path(self.told.control, f"node-{self.told.name}")
+    def control_path(self) -> Path:
+        """The path of the control socket."""
+        return status_socket.socket_path(self.settings.control, f"node-{self.settings.name}")
 
-    def _limits(self, told: Told) -> None:
-        """Descriptors, as many as may be needed: listeners that are there stay until new ones are open."""
+    def _raise_descriptor_limit(self, settings: NodeSettings) -> None:
+        """Raise the limit of descriptors as needed; present listeners stay open until new ones are."""
         soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-        need = descriptors(told) + len(self.services)
+        need = required_descriptors(settings) + len(self.services)
         if hard != resource.RLIM_INFINITY:
             need = min(need, hard)
         if soft != resource.RLIM_INFINITY and soft < need:
             resource.setrlimit(resource.RLIMIT_NOFILE, (need, hard))
 
-    def _opened(self, told: Told) -> dict[str, Service]:
-        """Services for what is told, by tenant: their listeners are open, or stay those that are there;
-        nobody is taken yet. `Refused` where one can't be had, with nothing changed."""
-        here = {service.told.address for service in self.services.values()}
+    def _open_services(self, settings: NodeSettings) -> dict[str, Service]:
+        """Create the configured services by tenant, with open listeners or those that exist already.
+
+        Nothing is accepted yet. Raises `HostConfigurationError`, with nothing changed, if an address is not
+        available.
+        """
+        here = {service.settings.address for service in self.services.values()}
         new: dict[str, Service] = {}
         try:
-            for one in told.services:
-                number = self.tenants.setdefault(one.tenant, len(self.tenants))
-                new[one.tenant] = Service(one, number, self.guests.take)
+            for one in settings.services:
+                number = self.tenant_numbers.setdefault(one.tenant, len(self.tenant_numbers))
+                new[one.tenant] = Service(one, number, self.sessions.accept)
                 if one.address not in here:
-                    new[one.tenant].open(told.connections)
+                    new[one.tenant].open(settings.connections)
         except HostConfigurationError:
-            _shut(new)
+            _close_listeners(new)
             raise
         return new
 
-    def _serve(self, new: dict[str, Service]) -> None:
-        """From now on these and no others. Connections of those that go stay until they close."""
-        old = {service.told.address: service for service in self.services.values()}
+    def _replace_services(self, new: dict[str, Service]) -> None:
+        """Run these services from now on; connections of removed services stay until they close."""
+        old = {service.settings.address: service for service in self.services.values()}
         for service in new.values():
-            if (before := old.pop(service.told.address, None)) is not None:
-                service.take_over(before)  # its queue as well, for another tenant perhaps
+            if (before := old.pop(service.settings.address, None)) is not None:
+                service.take_over(before)  # with its backlog, perhaps for another tenant
         for before in old.values():
-            before.shut()
+            before.close()
             logs.log_event(
-                logging.INFO, "service_removed", tenant=before.told.tenant, address=before.told.address
+                logging.INFO,
+                "service_removed",
+                tenant=before.settings.tenant,
+                address=before.settings.address,
             )
         for service in new.values():
             service.run(self.loop)
         self.services = new
 
-    # Told from outside.
+    # Input.
 
-    def poke(self) -> None:
-        self.poked.set()
+    def wake(self) -> None:
+        """Run the loop soon."""
+        self.wakeup.set()
 
-    def _changed(self) -> None:
-        self.moved = True
-        self.poke()
+    def _view_changed(self) -> None:
+        self.has_new_view = True
+        self.wake()
 
-    def _heard(self, sender: str, body: bytes) -> None:
-        """Seats of another node. What can't be read is dropped."""
+    def _receive_affinity(self, sender: str, body: bytes) -> None:
+        """Handle an affinity message of another node; an invalid one is dropped."""
         try:
-            said = words.decode(body)
-        except words.InvalidMessageError as error:
+            said = affinity_wire.decode(body)
+        except affinity_wire.InvalidMessageError as error:
             logs.counters["node_bad_seats"] += 1
             return logs.log_peer_fault("affinity_message_invalid", member=sender, reason=error)
         now = clock()
-        self._awake(now)
-        self.seats.receive(now, sender, said)
-        self.seats_at = min(self.seats_at, now + SEATS_SOON)
-        self.guests.news = True
-
-    async def answer(self) -> None:
-        """What stands behind asks how the node stands, as it would ask an app server: up once it knows its
-        seats, linked while an app server is there, its cores never looked at."""
-        async for event in self.desk:
+        self._detect_stall(now)
+        self.affinity.receive(now, sender, said)
+        self.next_affinity_at = min(self.next_affinity_at, now + MIN_AFFINITY_INTERVAL_SECONDS)
+        self.sessions.has_news = True
+
+    async def answer_status_queries(self) -> None:
+        """Answer the extensions' status queries in the way an app server does.
+
+        The node counts as ready once it has joined, and as connected while there is an app server. The CPU
+        load is not measured.
+        """
+        async for event in self.status_queries:
             if isinstance(event, StatusQuery):
-                table = self.guests.table
-                event.receiver.notify(ServerStatus(
-                    self.ready, bool(self.guests.places), 0.0, None, logs.counters["node_accepted"], 0,
-                    table.held, table.max_connections))  # fmt: skip
+                table = self.sessions.table
+                event.receiver.notify(
+                    ServerStatus(
+                        self.has_joined,
+                        bool(self.sessions.addresses),
+                        0.0,
+                        None,
+                        logs.counters["node_accepted"],
+                        0,
+                        table.held,
+                        table.max_connections,
+                    )
+                )
 
     def status(self) -> dict[str, Any]:
         """Plain values for `moves show`."""
         now = clock()
-        return {"now": now, "name": self.told.name} | self.moving.status(now)
+        return {"now": now, "name": self.settings.name} | self.migration.status(now)
 
     # The loop.
 
     async def run(self) -> None:
-        while not self.over:
-            if self.poked.is_set():
+        """Run the loop until the node has drained or failed."""
+        while not self.is_over:
+            if self.wakeup.is_set():
                 await anyio.sleep(0)
             else:
                 now = clock()
-                with anyio.move_on_after(max(0.0, max(self.step_at, self._next(now)) - now)):
-                    await self.poked.wait()
-            self.poked = anyio.Event()
+                with anyio.move_on_after(max(0.0, max(self.next_step_at, self._next_step_at(now)) - now)):
+                    await self.wakeup.wait()
+            self.wakeup = anyio.Event()
             now = clock()
-            self.step_at = now + STEP
+            self.next_step_at = now + MIN_LOOP_INTERVAL_SECONDS
             try:
-                self._settle(now)
+                self._step(now)
             except Exception as error:
                 logs.counters["node_error"] += 1
                 logs.log_event(logging.ERROR, "proxy_restarted", error)
-                await anyio.sleep(AGAIN)
+                await anyio.sleep(RESTART_BACKOFF_SECONDS)
 
     @property
-    def over(self) -> bool:
+    def is_over(self) -> bool:
+        """Whether the loop has to end."""
         now = clock()
-        left = now >= self.door_at and self.handed and not self.guests.every
-        return bool(self.refused) or (left and not self.guests.relays.rests) or now >= self.end_at
-
-    def _next(self, now: float) -> float:
-        moments = [self.guests.next(now), self.seats_at, self.moving.next(), self.look_at, self.end_at]
-        return min([*moments, *([self.door_at] if self.door_at > now else [])])
-
-    def _awake(self, now: float) -> None:
-        """Where this process stood still: seats are told before anything is read or seated."""
-        woke_at, span = self.fleet.last_stall()
-        if woke_at > self.woke_at:
-            self.woke_at = woke_at
-            self.seats.resumed(now, span)
-            self.seats_at = now
-
-    def _settle(self, now: float) -> None:
-        self._awake(now)
-        if self.moved:
-            self._saw(now)
-        self.guests.settle(now)
-        if self.guests.touched:
-            self.seats_at = min(self.seats_at, now + SEATS_LATE)
-        if now >= self.seats_at:
-            self._share(now)
-        self._carry(now)
-        if now >= self.door_at:
-            _shut(self.services)
-        if now >= self.look_at:
-            self._look(now)
-
-    def _saw(self, now: float) -> None:
-        self.moved = False
-        view = self.fleet.view()
-        # An app server without a place would be hashed over and never reached.
-        places = {one.name: place for one in view.servers() if (place := _place(one)) is not None}
+        left = now >= self.listener_closes_at and self.has_handed_over and not self.sessions.open_sessions
+        return bool(self.fatal_error) or (left and not self.sessions.relays.lingering) or now >= self.end_at
+
+    def _next_step_at(self, now: float) -> float:
+        moments = [
+            self.sessions.next_advance_at(now),
+            self.next_affinity_at,
+            self.migration.next_advance_at(),
+            self.next_report_at,
+            self.end_at,
+        ]
+        return min([*moments, *([self.listener_closes_at] if self.listener_closes_at > now else [])])
+
+    def _detect_stall(self, now: float) -> None:
+        """Report a stall of this process to the affinity table.
+
+        This must precede any message that is read and any assignment.
+        """
+        resumed_at, span = self.membership.last_stall()
+        if resumed_at > self.resumed_at:
+            self.resumed_at = resumed_at
+            self.affinity.resumed(now, span)
+            self.next_affinity_at = now
+
+    def _step(self, now: float) -> None:
+        self._detect_stall(now)
+        if self.has_new_view:
+            self._observe_view(now)
+        self.sessions.advance(now)
+        if self.sessions.has_changes:
+            self.next_affinity_at = min(self.next_affinity_at, now + MAX_AFFINITY_DELAY_SECONDS)
+        if now >= self.next_affinity_at:
+            self._send_affinity(now)
+        self._apply_levels(now)
+        if now >= self.listener_closes_at:
+            _close_listeners(self.services)
+        if now >= self.next_report_at:
+            self._report(now)
+
+    def _observe_view(self, now: float) -> None:
+        self.has_new_view = False
+        view = self.membership.view()
+        # An app server without an address would be assigned and never reached.
+        addresses = {
+            one.name: address for one in view.servers() if (address := _upstream_address(one)) is not None
+        }
         known = view.members
         view = view._replace(
-            members={name: one for name, one in known.items() if one.snapshot.node or name in places}
+            members={name: one for name, one in known.items() if one.snapshot.node or name in addresses}
         )
         logs.gauges["node_servers_nowhere"] = len(known) - len(view.members)
-        self.seats.observe(now, view)
-        self.seats_at = min(self.seats_at, now)
-        self.moving.saw(now, view)
-        self.guests.saw({name: place for name, place in places.items() if known[name].is_present})
-
-    def _share(self, now: float) -> None:
-        """What seats want told."""
-        for action in self.seats.advance(now):
+        self.affinity.observe(now, view)
+        self.next_affinity_at = min(self.next_affinity_at, now)
+        self.migration.observe(now, view)
+        self.sessions.observe(
+            {name: address for name, address in addresses.items() if known[name].is_present}
+        )
+
+    def _send_affinity(self, now: float) -> None:
+        """Carry out the actions of the affinity table."""
+        for action in self.affinity.advance(now):
             match action:
                 case SendMessage(to, body):
-                    if not self.fleet.send(to, "seats", words.encode(body)):  # it is told again
+                    if not self.membership.send(to, "seats", affinity_wire.encode(body)):  # it is sent again
                         logs.counters["node_seats_unsent"] += 1
                 case Joined(unanswered):
-                    self.ready = True
+                    self.has_joined = True
                     logs.log_event(
-                        logging.INFO, "affinity_joined", name=self.told.name, unanswered=unanswered
+                        logging.INFO, "affinity_joined", name=self.settings.name, unanswered=unanswered
                     )
-                    self._say(now)
+                    self._publish(now)
                 case HandedOver(unacked):
-                    self.handed = True
-                    logs.log_event(logging.INFO, "affinity_handed_over", name=self.told.name, unacked=unacked)
-        for name, many in self.seats.counts.items():
+                    self.has_handed_over = True
+                    logs.log_event(
+                        logging.INFO, "affinity_handed_over", name=self.settings.name, unacked=unacked
+                    )
+        for name, many in self.affinity.counts.items():
             logs.counters["seats_" + name] += many
-        self.seats.counts.clear()
-        if self.seats.log_events:
-            for note in self.seats.log_events:
+        self.affinity.counts.clear()
+        if self.affinity.log_events:
+            for note in self.affinity.log_events:
                 logs.log_event(logging.DEBUG, note.event, **note.fields)
-            self.seats.log_events.clear()
-        self.guests.touched = False
-        self.seats_at = max(now + SEATS_SOON, self.seats.next_advance_at(now))
+            self.affinity.log_events.clear()
+        self.sessions.has_changes = False
+        self.next_affinity_at = max(now + MIN_AFFINITY_INTERVAL_SECONDS, self.affinity.next_advance_at(now))
 
-    def _carry(self, now: float) -> None:
-        """What moves want announced."""
-        if changed := self.moving.settle(now):
+    def _apply_levels(self, now: float) -> None:
+        """Apply changed announcement levels of tenants."""
+        if changed := self.migration.advance(now):
             for tenant, level in changed.items():
                 logs.counters["node_levels"] += 1
                 logs.log_event(logging.INFO, "tenant_level_changed", tenant=tenant, as_=level)
-            self._cap()
-            self._say(now)
-
-    def _look(self, now: float) -> None:
-        """Now and then: figures out, figures of others in, what stands still ended."""
-        self.look_at = now + min(LOOK, self.fleet.config.period)
-        if self.fleet.conflict:
-            self.refused = f"[node] name: {self.fleet.conflict}"
+            self._cap_levels()
+            self._publish(now)
+
+    def _report(self, now: float) -> None:
+        """Periodically publish figures, read those of others, and close stalled relays."""
+        self.next_report_at = now + min(REPORT_INTERVAL_SECONDS, self.membership.config.period)
+        if self.membership.conflict:
+            self.fatal_error = f"[node] name: {self.membership.conflict}"
             return
-        self.guests.relays.sweep(now)
-        self.moving.risen(self._in_full)
-        self._say(now)
-        self._saw(now)
-        if now >= self.counts_at:
-            self.counts_at = now + COUNTS_PERIOD
-            self.tell_counts()
-
-    def _say(self, now: float) -> None:
-        table = self.guests.table
+        self.sessions.relays.sweep(now)
+        self.migration.update_rising(self._is_fully_announced)
+        self._publish(now)
+        self._observe_view(now)
+        if now >= self.next_counters_at:
+            self.next_counters_at = now + COUNTERS_PERIOD_SECONDS
+            self.log_counters()
+
+    def _publish(self, now: float) -> None:
+        table = self.sessions.table
         counted = {
-            name: table.held_by_tenant[at] for name, at in self.tenants.items() if at in table.held_by_tenant
+            name: table.held_by_tenant[at]
+            for name, at in self.tenant_numbers.items()
+            if at in table.held_by_tenant
         }
-        figures = self.guests.rates.look(now, counted)
-        state = State.LEAVING if self.leaving else State.SERVING if self.ready else State.COLD
-        room = 0 if self.leaving or self.moving.full else max(0, table.max_connections - table.held)
-        holds, untold = self.moving.holds(), len(self.moving.untold)
+        figures = self.sessions.rates.update(now, counted)
+        state = State.LEAVING if self.is_draining else State.SERVING if self.has_joined else State.COLD
+        room = 0 if self.is_draining or self.migration.full else max(0, table.max_connections - table.held)
+        holds, untold = self.migration.holds(), len(self.migration.unannounced)
         if untold and not logs.gauges.get("node_tenants_untold"):
             logs.log_event(logging.WARNING, "tenants_over_limit", told=len(holds), untold=untold)
         logs.gauges["node_tenants_untold"] = untold
-        self.fleet.announce(
+        self.membership.announce(
             state=state, connections=figures.connections, opened=figures.opened, room=room,
-            loads=figures.loads, rest=figures.rest, holds=holds, parts=self.moving.parts(now),
+            loads=figures.loads, rest=figures.rest, holds=holds, parts=self.migration.parts(now),
         )  # fmt: skip
 
-    def tell_counts(self) -> None:
-        logs.counters.update(self.moving.counted())
+    def log_counters(self) -> None:
+        """Log all counters and gauges."""
+        logs.counters.update(self.migration.take_counts())
         logs.gauges.update(
-            node_connections=self.guests.table.held, node_waiting=self.guests.table.waiting,
-            node_connects_out=len(self.guests.connects.out), node_octets=self.guests.relays.octets,
-            node_customers=len(self.seats.open_connections), node_exceptions=len(self.seats.bindings),
-            node_unshared=self.seats.unreplicated_bindings(), node_rests=len(self.guests.relays.rests),
-        )  # fmt: skip
+            node_connections=self.sessions.table.held,
+            node_waiting=self.sessions.table.waiting,
+            node_connects_out=len(self.sessions.connector.in_progress),
+            node_octets=self.sessions.relays.octets,
+            node_customers=len(self.affinity.open_connections),
+            node_exceptions=len(self.affinity.bindings),
+            node_unshared=self.affinity.unreplicated_bindings(),
+            node_rests=len(self.sessions.relays.lingering),
+        )
         logs.log_event(logging.INFO, "counters", **dict[str, Any](logs.gauges | logs.counters))
 
-    # What is announced.
+    # Announcements.
 
-    def _announce(self, now: float) -> None:
-        """By the file as it is now."""
-        self.moving.change(now, self.asked.get("moves"), self.told.services)
-        self._cap()
+    def _apply_migration_config(self, now: float) -> None:
+        """Apply the migration settings of the current configuration."""
+        self.migration.reconfigure(now, self.config.get("moves"), self.settings.services)
+        self._cap_levels()
 
-    def _in_full(self, tenant: str) -> bool:
-        """Whether a tenant's address is announced in full, where this node announces it at all."""
+    def _is_fully_announced(self, tenant: str) -> bool:
+        """Whether a tenant's address is announced with full preference, if this node announces it at all."""
         service = self.services.get(tenant)
         return service is None or all(
-            side.in_full(service.told.address.ip)  # type: ignore[attr-defined]
-            for side in self.sides
+            side.in_full(service.settings.address.ip)  # type: ignore[attr-defined]
+            for side in self.active_extensions
             if side.name == "announce"
         )
 
-    def _cap(self) -> None:
-        """The most of each address, which the announcer may still lower by its own rules."""
-        for side in self.sides:
+    def _cap_levels(self) -> None:
+        """Set the highest level of each address; the advertiser may lower it further by its own rules."""
+        for side in self.active_extensions:
             if side.name == "announce":
                 from thymeyoke.proxy import advertisement_levels
 
                 caps = advertisement_levels.caps(
-                    self.asked["announce"].addresses, self.told.services, self.moving.low
+                    self.config["announce"].addresses, self.settings.services, self.migration.lowered_levels
                 )
                 side.cap(caps)  # type: ignore[attr-defined]
 
-    # The file, read anew.
+    # Reload.
 
-    def reform(self, again: Callable[[], ServiceConfig]) -> None:
-        """All of the new file or nothing: it is found good, and its addresses are had, before anything of it
-        is carried out."""
+    def reload(self, reread: Callable[[], ServiceConfig]) -> None:
+        """Apply a new configuration completely or not at all.
+
+        It is checked, and its addresses are acquired, first.
+        """
         try:
-            asked = again()
-            told: Told = asked["node"]
-            if told.name != self.told.name:
+            config = reread()
+            settings: NodeSettings = config["node"]
+            if settings.name != self.settings.name:
                 raise HostConfigurationError(
-                    f"[node] name: this one runs as {self.told.name}; start another one as {told.name}"
+                    f"[node] name: this one runs as {self.settings.name}; "
+                    f"start another one as {settings.name}"
                 )
-            self._limits(told)
-            services = self._opened(told)
+            self._raise_descriptor_limit(settings)
+            services = self._open_services(settings)
             try:
-                sides, new = extensions.reload_extensions(self.sides, _sides(asked), self.around)
+                active_extensions, new = extensions.reload_extensions(
+                    self.active_extensions, _extension_sections(config), self.extension_context
+                )
             except BaseException:
-                _shut(services)
+                _close_listeners(services)
                 raise
         except Exception as error:
             logs.counters["service_config_errors"] += 1
             return logs.log_event(logging.ERROR, "service_config_rejected", error)
-        self._members(self.asked["members"], asked)
-        self.asked, self.told, self.sides = asked, told, sides
-        self._serve(services)
-        self.guests.change(told.connections)
+        self._reload_members(self.config["members"], config)
+        self.config, self.settings, self.active_extensions = config, settings, active_extensions
+        self._replace_services(services)
+        self.sessions.resize(settings.connections)
         extensions.start_extensions(self.tasks, new)
-        for side in new if self.leaving else ():
-            side.notify(DrainStarted(self.door_at))
-        self._announce(clock())
-        if told.linger != self.seats.idle_timeout:
+        for side in new if self.is_draining else ():
+            side.notify(DrainStarted(self.listener_closes_at))
+        self._apply_migration_config(clock())
+        if settings.linger != self.affinity.idle_timeout:
             logs.log_event(logging.WARNING, "change_deferred", section="node", option="linger")
         logs.log_event(logging.INFO, "service_config_reloaded", services=len(services))
-        self.poke()
+        self.wake()
 
-    def _members(self, old: Members, asked: ServiceConfig) -> None:
-        new: Members = asked["members"]
+    def _reload_members(self, old: Members, config: ServiceConfig) -> None:
+        new: Members = config["members"]
         if (old.address, old.advertise, old.fleet) != (new.address, new.advertise, new.fleet):
-            asked["members"] = old
+            config["members"] = old
             logs.log_event(logging.WARNING, "change_deferred", section="members")
         elif old != new:
-            self.fleet.reconfigure(new)
+            self.membership.reconfigure(new)
 
-    # The end.
+    # Drain.
 
     @property
-    def leaving(self) -> bool:
-        return self.door_at < float("inf")
+    def is_draining(self) -> bool:
+        """Whether the drain has begun."""
+        return self.listener_closes_at < float("inf")
+
+    def start_draining(self) -> None:
+        """Begin the drain; further calls have no effect.
 
-    def leave(self) -> None:
-        """The notice. Connections are still taken for a while, with the address less preferred and then
-        withdrawn; those that are there go on until a bounded time. A second notice changes nothing."""
-        if self.leaving:
+        New connections are accepted for a while, with the address depreferred and then withdrawn. Open
+        connections continue for a limited time.
+        """
+        if self.is_draining:
             return
         now = clock()
-        self._awake(now)
-        self.door_at = now + max(DOOR_LEAST, DOOR_PART * self.told.linger)
-        self.end_at = self.door_at + max(STAY_LEAST, self.told.linger)
+        self._detect_stall(now)
+        self.listener_closes_at = now + max(
+            MIN_LISTENER_GRACE_SECONDS, LISTENER_GRACE_SHARE * self.settings.linger
+        )
+        self.end_at = self.listener_closes_at + max(MIN_DRAIN_SECONDS, self.settings.linger)
         logs.log_event(
-            logging.INFO, "graceful_shutdown_started", name=self.told.name, connections=self.guests.table.held
+            logging.INFO,
+            "graceful_shutdown_started",
+            name=self.settings.name,
+            connections=self.sessions.table.held,
         )
-        for side in self.sides:
-            side.notify(DrainStarted(self.door_at))
-        self.seats.leave(now)
-        self.seats_at = now
-        self._say(now)
-        self.poke()
+        for side in self.active_extensions:
+            side.notify(DrainStarted(self.listener_closes_at))
+        self.affinity.leave(now)
+        self.next_affinity_at = now
+        self._publish(now)
+        self.wake()
 
     def close(self) -> None:
-        """Whatever is still open."""
-        _shut(self.services)
-        self.guests.close()
-        for side in self.sides:
+        """Release everything that is still open."""
+        _close_listeners(self.services)
+        self.sessions.close()
+        for side in self.active_extensions:
             side.close()
-        self.around.dispatcher.close()
-        self.desk.close()
+        self.extension_context.dispatcher.close()
+        self.status_queries.close()
 
 
 async def serve(
-    again: Callable[[], ServiceConfig], seed: int | None = None,
-    *, task_status: TaskStatus[Node] = anyio.TASK_STATUS_IGNORED,
+    reread: Callable[[], ServiceConfig], seed: int | None = None,
+    *, task_status: TaskStatus[ProxyNode] = anyio.TASK_STATUS_IGNORED,
 ) -> None:  # fmt: skip
-    """Until it has left. `again` reads the operators' file, at the start and on SIGHUP: `BadOrders` or
-    `Refused` where it can't be taken. `Refused` as well where another process keeps the node's name."""
-    # As for a server: what asyncio sets aside for a read.
+    """Run a node until it has drained.
+
+    `reread` reads the service configuration, at the start and on SIGHUP; it raises `ServiceConfigError` or
+    `HostConfigurationError` if that is invalid. Also raises `HostConfigurationError` if another process has
+    the node's name.
+    """
+    # As for a server: the size of asyncio's read buffers.
     selector_events._SelectorTransport.max_size = 1 << 14  # type: ignore[attr-defined]
-    node = Node(again(), SystemRandom().getrandbits(64) if seed is None else seed)
+    node = ProxyNode(reread(), SystemRandom().getrandbits(64) if seed is None else seed)
     try:
         node.open()
         logs.log_event(
-            logging.INFO, "proxy_listening", name=node.told.name, seed=node.seed, services=len(node.services)
+            logging.INFO,
+            "proxy_listening",
+            name=node.settings.name,
+            seed=node.seed,
+            services=len(node.services),
         )
-        gc.set_threshold(*GARBAGE)
+        gc.set_threshold(*GC_THRESHOLDS)
         gc.collect()
         gc.freeze()
         async with anyio.create_task_group() as node.tasks:
             ended = anyio.Event()
             extensions.start_extensions(
-                node.tasks, (Side("members", partial(_member, node, ended)), Side("node_desk", node.answer))
+                node.tasks,
+                (
+                    RestartingActor("members", partial(_run_membership, node, ended)),
+                    RestartingActor("node_desk", node.answer_status_queries),
+                ),
             )
-            extensions.start_extensions(node.tasks, node.sides)
-            node.tasks.start_soon(status_socket.serve_status, node.control, "moves", node.status)
-            await node.tasks.start(_signals, node, again)
+            extensions.start_extensions(node.tasks, node.active_extensions)
+            node.tasks.start_soon(status_socket.serve_status, node.control_path, "moves", node.status)
+            await node.tasks.start(_handle_signals, node, reread)
             task_status.started(node)
             await node.run()
-            node.fleet.leave()
-            with anyio.move_on_after(FAREWELL):
+            node.membership.leave()
+            with anyio.move_on_after(FAREWELL_TIMEOUT_SECONDS):
                 await ended.wait()
             node.tasks.cancel_scope.cancel()
     finally:
         node.close()
-    node.tell_counts()
-    if node.refused:
-        raise HostConfigurationError(node.refused)
-    logs.log_event(logging.INFO, "stopped", name=node.told.name)
+    node.log_counters()
+    if node.fatal_error:
+        raise HostConfigurationError(node.fatal_error)
+    logs.log_event(logging.INFO, "stopped", name=node.settings.name)
 
 
-async def _member(node: Node, ended: anyio.Event) -> None:
-    await node.fleet.run()
+async def _run_membership(node: ProxyNode, ended: anyio.Event) -> None:
+    await node.membership.run()
     ended.set()
 
 
-async def _signals(
-    node: Node,
-    again: Callable[[], ServiceConfig],
+async def _handle_signals(
+    node: ProxyNode,
+    reread: Callable[[], ServiceConfig],
     *,
     task_status: TaskStatus[None] = anyio.TASK_STATUS_IGNORED,
 ) -> None:
-    """SIGTERM is the notice to leave, SIGHUP asks to read the file again, during a drain as well."""
+    """Handle signals until the node ends.
+
+    SIGTERM or SIGINT begins the drain; SIGHUP reloads the configuration, also during a drain.
+    """
     with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals:
         if early_signals.unblock() is not None:
-            node.leave()
+            node.start_draining()
         task_status.started()
         try:
             async for number in signals:
                 if number == signal.SIGHUP:
-                    node.reform(again)
+                    node.reload(reread)
                 else:
-                    node.leave()
+                    node.start_draining()
         finally:
             early_signals.reblock()
--- a/thymeyoke/proxy/session_state.py
+++ b/thymeyoke/proxy/session_state.py
@@ -1,7 +1,7 @@
-"""The life of one customer's connection at a node, as a table: where it is, what happens, what goes out.
+"""The state table of one client connection at a node.
 
-Pure. docs/proxy.md has the same table in words, and a test reads it from there. What is not in the table
-changes nothing: late news of a connection that is further on, or gone.
+No I/O. docs/proxy.md has the same table in words, and a test compares them. Pairs that are not in the table
+change nothing, as they are late events of a connection that has moved on.
 """
 
 from __future__ import annotations
@@ -11,39 +11,47 @@
 
 
 class At(IntEnum):
-    SILENT = auto()  # accepted; its customer has said nothing yet
-    WAITING = auto()  # an octet is there, unread; it waits for a place at the table
-    SEATING = auto()  # has a place; waits to learn its app server
-    CONNECTING = auto()  # its app server is being connected to
-    PASSING = auto()  # octets pass
+    """The state of a connection."""
+
+    SILENT = auto()  # accepted; the client has sent nothing yet
+    WAITING = auto()  # the client has sent data; waits for a slot
+    SEATING = auto()  # has a slot; waits for its assignment
+    CONNECTING = auto()  # connecting to its app server
+    PASSING = auto()  # the relay runs
     GONE = auto()
 
 
 class Event(IntEnum):
-    SPOKE = auto()  # its first octet is there
-    LET_IN = auto()  # a place at the table
-    SEATED = auto()  # its app server is named
-    UNSEATED = auto()  # there is none
+    """What can happen to a connection."""
+
+    SPOKE = auto()  # the first data has arrived
+    LET_IN = auto()  # a slot is free
+    SEATED = auto()  # an app server is assigned
+    UNSEATED = auto()  # no app server is available
     CONNECTED = auto()
-    FAILED = auto()  # the app server could not be connected to
-    LATE = auto()  # a bound of time has passed
-    PUSHED = auto()  # the room is full, and another tenant has less of it
-    LEFT = auto()  # its customer ended or reset it
-    ENDED = auto()  # both ways of the relay have ended, or one was reset
+    FAILED = auto()  # the connect has failed
+    LATE = auto()  # a timeout
+    PUSHED = auto()  # evicted for a tenant with fewer waiting connections
+    LEFT = auto()  # the client has ended or reset the connection
+    ENDED = auto()  # the relay has ended
 
 
 class Do(IntEnum):
+    """What is done in a transition."""
+
     ASK_PLACE = auto()
     ASK_SEAT = auto()
     ASK_CONNECT = auto()
-    ASK_NEXT = auto()  # the place that follows a failed one
-    PASS = auto()  # from here on octets are read
-    GIVE_BACK = auto()  # the place at the table
-    LEAVE_SEAT = auto()  # one connection less of its customer
-    CLOSE = auto()  # the customer's connection: nothing of it was read, nothing ran
+    ASK_NEXT = auto()  # the next app server after a failed one
+    PASS = auto()  # start the relay
+    GIVE_BACK = auto()  # the slot
+    LEAVE_SEAT = auto()  # report the end of the connection to the affinity table
+    CLOSE = auto()  # close the connection, of which nothing was read
 
 
 class Step(NamedTuple):
+    """The next state and what is done."""
+
     at: At
     out: tuple[Do, ...] = ()
 
@@ -74,4 +82,5 @@
 
 
 def step(at: At, event: Event) -> Step:
+    """The transition for an event in a state."""
     return TABLE.get((at, event)) or Step(at)
