--- a/thymeyoke/migration/load_ranges.py
+++ b/thymeyoke/migration/load_ranges.py
@@ -99,15 +99,15 @@
     names = {one.tenant for one in snapshot.loads}
     held = snapshot.connections
     if len(names) < len(snapshot.loads):
-        return "tells a tenant twice"
+        return "lists a tenant twice"
     if not (_within(held) and _within(snapshot.room) and _within(snapshot.opened)):
-        return "tells a figure out of range"
+        return "connections, capacity or rate of opened connections out of range"
     if not all(_within(one.connections) and _within(one.opened) and 0 <= one.over <= one.connections
                for one in figures):  # fmt: skip
-        return "tells a tenant's figure out of range"
+        return "load of a tenant out of range"
     least = sum(one.connections - one.over for one in figures)
     if least > held * (1 + SUM_TOLERANCE) + 1:
-        return f"tells tenants of at least {least} connections and {held} in all"
+        return f"loads of its tenants add up to at least {least} connections, but it reports {held} in all"
     return ""
 
 
