--- a/tests/characterization/test_codecs.py
+++ b/tests/characterization/test_codecs.py
@@ -21,7 +21,7 @@
 from thymeyoke.bgp import wire as bgp
 from thymeyoke.configuration.start_file import Address, RequestNames
 from thymeyoke.ledger import wire as ledger
-from thymeyoke.ledger.usage_entries import Amounts, Kind, Line
+from thymeyoke.ledger.usage_entries import Amounts, Kind, UsageKey
 from thymeyoke.membership import wire as membership_wire
 from thymeyoke.migration import wire as migration_wire
 from thymeyoke.runtime import extensions
@@ -52,8 +52,8 @@
     ledger.Hello: "hello",
     ledger.Welcome: "welcome",
     ledger.Batch: "batch",
-    ledger.Taken: "taken",
-    ledger.Refused: "refused",
+    ledger.Acknowledgement: "taken",
+    ledger.Rejection: "refused",
 }
 COMMANDS = {
     messages.StartRun: "begin",
@@ -371,21 +371,21 @@
 class LedgerWire(unittest.TestCase):
     def test_writing_and_reading(self) -> None:
         rows = (
-            (Line("north", "look", Kind.ACKED), Amounts(3, 250_000, 2, 1_500_000, 4096)),
-            (Line("south", "buy", Kind.CORRECTION, "1.7", "ann", "twice"), Amounts(0, -5, 0, 0, 0)),
+            (UsageKey("north", "look", Kind.ACKED), Amounts(3, 250_000, 2, 1_500_000, 4096)),
+            (UsageKey("south", "buy", Kind.CORRECTION, "1.7", "ann", "twice"), Amounts(0, -5, 0, 0, 0)),
         )
-        body = ledger.body(ledger.Body(4, 17, 2, 1, 3, 60, rows))
+        body = ledger.encode_body(ledger.BatchBody(4, 17, 2, 1, 3, 60, rows))
         said: list[Any] = [
             ledger.Hello("app-1", b"\1" * 16, 4),
             ledger.Welcome(b"\2" * 16, 3, b"\3" * 32),
             ledger.Batch(4, b"\3" * 32, body),
-            ledger.Taken(4, b"\4" * 32),
-            ledger.Refused("a gap"),
+            ledger.Acknowledgement(4, b"\4" * 32),
+            ledger.Rejection("a gap"),
         ]
-        found: list[Any] = [[body.hex(), shown(ledger.read_body(body))], shown(said[2].hash)]
+        found: list[Any] = [[body.hex(), shown(ledger.decode_body(body))], shown(said[2].hash)]
         for one in said:
             data = ledger.encode(one)
-            found.append([shown(one), data.hex(), shown(list(ledger.Reader().feed(data)))])
+            found.append([shown(one), data.hex(), shown(list(ledger.FrameReader().feed(data)))])
         found += [attempt(lambda d=data: ledger.decode(d)) for data in (b"", b"\xff\xff", b"\x0a\x01")]
         compare(self, "codecs/ledger", lines(found))
 
--- a/tests/characterization/test_files.py
+++ b/tests/characterization/test_files.py
@@ -19,9 +19,9 @@
 from tests.characterization.recording import DATA, compare, plain
 from thymeyoke.configuration import service_config, start_file
 from thymeyoke.ledger import export_store, usage_journal
-from thymeyoke.ledger.export_store import Vault
-from thymeyoke.ledger.usage_entries import Amounts, Kind, Use
-from thymeyoke.ledger.usage_journal import Book
+from thymeyoke.ledger.export_store import ExportStore
+from thymeyoke.ledger.usage_entries import Amounts, Kind, RequestUsage
+from thymeyoke.ledger.usage_journal import UsageJournal
 
 FILES = DATA / "files"
 PERIOD = 60  # seconds
@@ -85,13 +85,13 @@
     return str(value)
 
 
-def use(at: float, tenant: str, kind: Kind, run: float = 0.25) -> Use:
-    return Use(at, tenant, "look", kind, run, 2, 1.5, 300, f"id{at:g}")
+def use(at: float, tenant: str, kind: Kind, run: float = 0.25) -> RequestUsage:
+    return RequestUsage(at, tenant, "look", kind, run, 2, 1.5, 300, f"id{at:g}")
 
 
-def fill(store: Book, received: Vault) -> None:
+def fill(store: UsageJournal, received: ExportStore) -> None:
     """Every kind of entry, closed periods, a correction, batches that were delivered, and a fold."""
-    received.greet(store.mark, "app-1")
+    received.register_journal(store.journal_id, "app-1")
     done = 0
     for at in range(0, 420, 30):
         done += store.append(
@@ -101,15 +101,15 @@
                 use(6000.0 + at, "north", list(Kind)[at // 30 % 4], 0.125),
             ]
         )
-        for made in store.close(6000.0 + at):
-            received.take(store.mark, store.batch(made.number))
+        for made in store.close_periods(6000.0 + at):
+            received.store_batch(store.journal_id, store.batch(made.number))
             if at < 300:
-                store.marked(made.number)
-        store.fold(keep=2)
+                store.record_acknowledged(made.number)
+        store.compact(keep=2)
         if at == 300:
             store.correct(f"{store.start}.{done}", Amounts(run=-5), "ann", "twice billed")
             done += 1
-    store.pin(b"\7" * 16)
+    store.record_receiver(b"\7" * 16)
 
 
 def dump(path: Path) -> list[Any]:
@@ -132,11 +132,11 @@
             mock.patch.object(usage_journal, "token_bytes", lambda size: b"\1" * size),
             mock.patch.object(export_store, "token_bytes", lambda size: b"\2" * size),
         ):
-            store = Book(self.folder / "book", PERIOD, durable=False)
-            received = Vault(self.folder / "vault")
+            store = UsageJournal(self.folder / "book", PERIOD, durable=False)
+            received = ExportStore(self.folder / "vault")
             fill(store, received)
-            store.close_file()
-            received.close_file()
+            store.close_database()
+            received.close_database()
         return store.path, received.path
 
     def test_written_the_same(self) -> None:
@@ -152,23 +152,23 @@
                 whole.execute("PRAGMA journal_mode = DELETE")
                 whole.close()
                 target.write_bytes(gzip.compress(path.read_bytes(), mtime=0))
-        for name, file in (("book", usage_journal.FILE), ("vault", export_store.FILE)):
+        for name, file in (("book", usage_journal.FILE_NAME), ("vault", export_store.FILE_NAME)):
             folder = self.folder / f"recorded-{name}"
             folder.mkdir()
             (folder / file).write_bytes(gzip.decompress(recorded[name].read_bytes()))
-        store = Book(self.folder / "recorded-book", PERIOD, durable=False)
-        received = Vault(self.folder / "recorded-vault")
-        self.addCleanup(store.close_file)
-        self.addCleanup(received.close_file)
+        store = UsageJournal(self.folder / "recorded-book", PERIOD, durable=False)
+        received = ExportStore(self.folder / "recorded-vault")
+        self.addCleanup(store.close_database)
+        self.addCleanup(received.close_database)
         self.assertEqual((store.verify(), received.verify()), ([], []))
-        last, hash_ = store.last()
+        last, hash_ = store.last_batch()
         batch = store.batch(last)
         rows = [
-            [store.start, store.mark.hex(), last, hash_.hex(), plain(batch, {})],
+            [store.start, store.journal_id.hex(), last, hash_.hex(), plain(batch, {})],
             [plain(entry, {}) for entry in store.entries()],
             sorted(plain(list(store.totals().items()), {})),
-            [[*plain(stream[:2], {}), list(stream[2])] for stream in received.streams()],
-            plain(received.held(store.mark), {}),
+            [[*plain(stream[:2], {}), list(stream[2])] for stream in received.received_journals()],
+            plain(received.stored_prefix(store.journal_id), {}),
         ]
         compare(self, "files/stores_read", lines(rows))
         self.assertEqual(store.append([use(9000.0, "north", Kind.ACKED)]), 1)
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -1,5 +1,8 @@
-"""The ledger's decisions and stores: periods, the book killed at every step, the export explored, sums on
-both sides."""
+"""Tests of the ledger's decisions and stores.
+
+The journal and the export store are killed at every failpoint, the export's state machine is explored
+completely, and the sums of both sides are compared.
+"""
 
 from __future__ import annotations
 
@@ -23,26 +26,45 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from thymeyoke.ledger import export, statement, wire
-from thymeyoke.ledger.export import At, Dial, Drop, Greet, Held, Mark, Pin, Send, Sender, judge
-from thymeyoke.ledger.export_store import Vault
-from thymeyoke.ledger.statement import Stream
-from thymeyoke.ledger.usage_entries import Amounts, Kind, Line, Periods, Recent, Use, sums
-from thymeyoke.ledger.usage_journal import BadBook, Book
-from thymeyoke.ledger.wire import Batch, Body, Hello, Refused, Taken, Welcome
+from thymeyoke.ledger.export import (
+    CloseConnection,
+    Connect,
+    ExportSender,
+    ExportState,
+    RecordAcknowledged,
+    RecordReceiver,
+    SendBatch,
+    SendHello,
+    StoredPrefix,
+    check_batch,
+)
+from thymeyoke.ledger.export_store import ExportStore
+from thymeyoke.ledger.statement import ReceivedJournal
+from thymeyoke.ledger.usage_entries import (
+    Amounts,
+    Kind,
+    Periods,
+    RecentRunTimes,
+    RequestUsage,
+    UsageKey,
+    sum_by_key,
+)
+from thymeyoke.ledger.usage_journal import StoreError, UsageJournal
+from thymeyoke.ledger.wire import Acknowledgement, Batch, BatchBody, Hello, Rejection, Welcome
 
 LENGTH = 10
 
 
-def use(at: float, tenant: str = "north", kind: Kind = Kind.ACKED, run: float = 0.25) -> Use:
-    return Use(at, tenant, "look", kind, run, 1, 1.5, 300)
+def usage(at: float, tenant: str = "north", kind: Kind = Kind.ACKED, run: float = 0.25) -> RequestUsage:
+    return RequestUsage(at, tenant, "look", kind, run, 1, 1.5, 300)
 
 
 class Killed(BaseException):
-    """The process ends here."""
+    """Raised in place of the end of the process."""
 
 
-class Step:
-    """Ends the process at the n-th step that it is asked for, by name; counts them."""
+class Failpoint:
+    """Ends the process at the n-th call with a name, and records all calls."""
 
     def __init__(self, name: str = "", nth: int = 1, end: Callable[[], None] | None = None) -> None:
         self.name, self.nth, self.end = name, nth, end
@@ -60,8 +82,8 @@
     os.kill(os.getpid(), signal.SIGKILL)
 
 
-def killed(what: Callable[[], object]) -> int:
-    """In a process of its own, until it is killed or done; the signal that ended it."""
+def run_until_killed(what: Callable[[], object]) -> int:
+    """Run a function in a child process and return the signal that ended it."""
     child = os.fork()
     if child == 0:
         try:
@@ -71,80 +93,86 @@
     return os.WTERMSIG(os.waitpid(child, 0)[1])
 
 
-class Places(unittest.TestCase):
+class StoreTestCase(unittest.TestCase):
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.folder = Path(folder.name)
 
-    def book(self, step: Any = None, **more: Any) -> Book:
-        book = Book(self.folder / "book", LENGTH, durable=False, step=step or Step(), **more)
-        self.addCleanup(book.close_file)
-        return book
+    def journal(self, failpoint: Any = None, **more: Any) -> UsageJournal:
+        journal = UsageJournal(
+            self.folder / "book", LENGTH, durable=False, failpoint=failpoint or Failpoint(), **more
+        )
+        self.addCleanup(journal.close_database)
+        return journal
 
-    def vault(self, step: Any = None) -> Vault:
-        vault = Vault(self.folder / "vault", step or Step())
-        self.addCleanup(vault.close_file)
-        return vault
+    def store(self, failpoint: Any = None) -> ExportStore:
+        store = ExportStore(self.folder / "vault", failpoint or Failpoint())
+        self.addCleanup(store.close_database)
+        return store
 
 
-class Times(unittest.TestCase):
+class PeriodsTest(unittest.TestCase):
     def test_periods(self) -> None:
-        cases = [  # latest, closed, what happens at, the period it falls in
+        cases = [  # latest_seen, closed, at, expected period
             (0.0, -1, 100.0, 10), (0.0, -1, 109.999, 10), (0.0, -1, 110.0, 11),
-            (200.0, 9, 105.0, 10), (200.0, 18, 105.0, 19),  # a clock set back: the first that is open
-            (3700.0, 369, 100.0, 370), (0.0, 10, 500.0, 50),  # an hour back; asleep through several
+            (200.0, 9, 105.0, 10), (200.0, 18, 105.0, 19),  # clock set back: the first open period
+            (3700.0, 369, 100.0, 370), (0.0, 10, 500.0, 50),  # set back an hour; several periods skipped
         ]  # fmt: skip
         for latest, closed, at, period in cases:
             with self.subTest(latest=latest, closed=closed, at=at):
-                self.assertEqual(Periods(LENGTH, latest, closed).of(at), period)
+                self.assertEqual(Periods(LENGTH, latest, closed).period_of(at), period)
 
-    def test_what_closes(self) -> None:
-        cases = [  # closed, now, periods with entries, those that close
+    def test_closable_periods(self) -> None:
+        cases = [  # closed, now, periods with entries, closable ones
             (-1, 111.0, [10], [10]), (-1, 110.9, [10], []), (-1, 125.0, [11, 10, 12], [10, 11]),
             (10, 125.0, [10, 11], [11]), (-1, 500.0, [10, 30, 48, 49], [10, 30, 48]), (-1, 500.0, [], []),
         ]  # fmt: skip
-        for closed, now, held, due in cases:
+        for closed, now, held, closable in cases:
             with self.subTest(closed=closed, now=now):
                 periods = Periods(LENGTH, 0.0, closed)
-                self.assertEqual(periods.due(now, held), due)
-                self.assertGreater(periods.next(now), now)
-        back = Periods(LENGTH, latest=500.0)
-        self.assertEqual(back.due(100.0, [10, 30]), [10, 30])  # what once had ended has ended
+                self.assertEqual(periods.closable_periods(now, held), closable)
+                self.assertGreater(periods.next_close_at(now), now)
+        to_sender = Periods(LENGTH, latest_seen=500.0)
+        self.assertEqual(
+            to_sender.closable_periods(100.0, [10, 30]), [10, 30]
+        )  # ended before the clock was set back
 
     def test_amounts(self) -> None:
-        self.assertEqual(use(0.0).amounts(), Amounts(1, 250_000, 1, 1_500_000, 300))
-        self.assertEqual(use(0.0, kind=Kind.REPEAT).amounts(), Amounts(1))  # counted, and charged nothing
-        thirds = [use(0.0, run=1 / 3).amounts()] * 3
-        self.assertEqual(sums((Line("a", "b", Kind.ACKED), one) for one in thirds).popitem()[1].run, 999_999)
+        self.assertEqual(usage(0.0).amounts(), Amounts(1, 250_000, 1, 1_500_000, 300))
+        self.assertEqual(usage(0.0, kind=Kind.REPEAT).amounts(), Amounts(1))  # counted, but not charged
+        thirds = [usage(0.0, run=1 / 3).amounts()] * 3
+        self.assertEqual(
+            sum_by_key((UsageKey("a", "b", Kind.ACKED), one) for one in thirds).popitem()[1].run, 999_999
+        )
 
-    def test_recent_use_is_a_window(self) -> None:
-        recent = Recent(span=60.0, slots=12, most=3)
+    def test_recent_run_times_are_a_sliding_window(self) -> None:
+        recent = RecentRunTimes(span=60.0, slots=12, max_tenants=3)
         for at in range(600):
             recent.add(float(at), "north" if at % 4 else f"t{at}", 1.0)
-        self.assertLessEqual(len(recent.runs), 12)
+        self.assertLessEqual(len(recent.run_times_by_slot), 12)
         shares = recent.shares(599.0)
         self.assertEqual((next(iter(shares)), round(sum(shares.values()), 6)), ("north", 1.0))
         self.assertEqual(recent.shares(700.0), {})
 
 
-class Books(Places):
-    def fill(self, book: Book) -> int:
-        """Every kind of step there is; how many entries were committed."""
+class UsageJournalTest(StoreTestCase):
+    def fill(self, journal: UsageJournal) -> int:
+        """Call every failpoint; returns the number of entries committed."""
         done = 0
         for at in range(0, 240, 5):
-            done += book.append([use(1000.0 + at), use(1000.0 + at, "south", Kind.REPEAT)])
-            for made in book.close(1000.0 + at):
-                book.marked(made.number)
-            book.fold(keep=4)
+            done += journal.append([usage(1000.0 + at), usage(1000.0 + at, "south", Kind.REPEAT)])
+            for made in journal.close_periods(1000.0 + at):
+                journal.record_acknowledged(made.number)
+            journal.compact(keep=4)
             if at == 120:
-                book.correct(f"{book.start}.{done}", Amounts(run=-5), "ann", "twice billed")
+                journal.correct(f"{journal.start}.{done}", Amounts(run=-5), "ann", "twice billed")
                 done += 1
         return done
 
     def test_killed_at_every_step(self) -> None:
-        counted = Step()
-        self.assertEqual(self.fill(self.book(counted)), 97)
+        counted = Failpoint()
+        self.assertEqual(self.fill(self.journal(counted)), 97)
         names = set(counted.seen)
         self.assertEqual(names, {"entry", "commit", "committed", "correction", "close", "closing", "closed",
                                  "acknowledge",
@@ -153,582 +181,610 @@
             if counted.seen.count(name) < nth:
                 continue
             with self.subTest(name=name, nth=nth), tempfile.TemporaryDirectory() as folder:
-                seen = Step(name, nth)
+                seen = Failpoint(name, nth)
                 with suppress(Killed):
-                    book = Book(Path(folder) / "dry", LENGTH, durable=False, step=seen)
-                    self.fill(book)
-                book.close_file()
+                    journal = UsageJournal(Path(folder) / "dry", LENGTH, durable=False, failpoint=seen)
+                    self.fill(journal)
+                journal.close_database()
 
                 def fill(at: Path = Path(folder), name: str = name, nth: int = nth) -> None:
-                    self.fill(Book(at, LENGTH, durable=False, step=Step(name, nth, kill_self)))
-
-                self.assertEqual(killed(fill), signal.SIGKILL)
-                # Committed groups are there in whole, the one at hand in whole or not at all.
-                book = Book(Path(folder), LENGTH, durable=False)
-                self.assertEqual((book.verify(), book.start), ([], 2))
-                ops = sum(amounts.ops for amounts in book.totals().values())
+                    self.fill(
+                        UsageJournal(at, LENGTH, durable=False, failpoint=Failpoint(name, nth, kill_self))
+                    )
+
+                self.assertEqual(run_until_killed(fill), signal.SIGKILL)
+                # Committed groups are complete; the current one is complete or missing.
+                journal = UsageJournal(Path(folder), LENGTH, durable=False)
+                self.assertEqual((journal.verify(), journal.start), ([], 2))
+                ops = sum(amounts.ops for amounts in journal.totals().values())
                 self.assertEqual(ops, 2 * seen.seen.count("committed"))
-                book.close(5000.0)
-                self.assertEqual(book.verify(), [])
-                book.close_file()
+                journal.close_periods(5000.0)
+                self.assertEqual(journal.verify(), [])
+                journal.close_database()
 
-    def test_a_bit_that_flips_is_found(self) -> None:
+    def test_changed_data_is_detected(self) -> None:
         changes = {
-            "UPDATE entries SET run = run + 1 WHERE number = 31": "entries 31 to 32 are not as they were "
-            "committed",
-            "DELETE FROM entries WHERE number = 31": "of entries 31 to 32 only 1 are there",
+            "UPDATE entries SET run = run + 1 WHERE number = 31": "entries 31 to 32 have changed since they "
+            "were committed",
+            "DELETE FROM entries WHERE number = 31": "entries 31 to 32: only 1 exist",
             "UPDATE batches SET body = x'00' WHERE number = 2": "batch 2 does not follow",
             "UPDATE batches SET before = x'00' WHERE number = 3": "batch 3 does not follow",
             "DELETE FROM batches WHERE number = 2": "batch 3 does not follow",
         }
-        for change, said in changes.items():
+        for change, expected in changes.items():
             with self.subTest(change=change), tempfile.TemporaryDirectory() as folder:
-                book = Book(Path(folder), LENGTH, durable=False)
+                journal = UsageJournal(Path(folder), LENGTH, durable=False)
                 for at in range(0, 100, 5):
-                    book.append([use(1000.0 + at), use(1000.0 + at)])
-                    book.close(1000.0 + at)
-                self.assertEqual(book.verify(), [])
-                book.store.execute(change)
-                self.assertIn(said, book.verify()[0])
-                book.close_file()
-
-    def test_files_that_are_cut_or_foreign(self) -> None:
-        book = self.book()
-        book.append([use(1000.0)] * 5000)
-        book.store.execute("PRAGMA wal_checkpoint(TRUNCATE)")
-        book.close_file()
-        whole = book.path.read_bytes()
+                    journal.append([usage(1000.0 + at), usage(1000.0 + at)])
+                    journal.close_periods(1000.0 + at)
+                self.assertEqual(journal.verify(), [])
+                journal.database.execute(change)
+                self.assertIn(expected, journal.verify()[0])
+                journal.close_database()
+
+    def test_truncated_and_foreign_files(self) -> None:
+        journal = self.journal()
+        journal.append([usage(1000.0)] * 5000)
+        journal.database.execute("PRAGMA wal_checkpoint(TRUNCATE)")
+        journal.close_database()
+        whole = journal.path.read_bytes()
         for data in (whole[: len(whole) // 2], b"not a ledger" * 100):
-            book.path.write_bytes(data)
+            journal.path.write_bytes(data)
             try:
-                again = self.book(begin=False)
-            except BadBook as error:
+                deliver_again = self.journal(is_start=False)
+            except StoreError as error:
                 self.assertNotIn("\n", str(error))
             else:
-                self.assertTrue(again.verify())
-                again.close_file()
-        book.path.write_bytes(whole)
-        with self.assertRaisesRegex(BadBook, r"periods of 10 s; give \[ledger\] period = that"):
-            Book(self.folder / "book", 60)
-        store = sqlite3.connect(book.path)
-        store.execute("UPDATE meta SET value = 9 WHERE name = 'format'")
-        store.commit()
-        store.close()
-        with self.assertRaisesRegex(BadBook, "is of format 9, this program reads 1"):
-            self.book()
-
-    def test_a_torn_last_page(self) -> None:
-        """What was committed before it stands."""
-        book = self.book()
-        book.append([use(1000.0)] * 10)
-        book.append([use(1001.0)] * 10)
-        log = book.path.with_name(book.path.name + "-wal")
+                self.assertTrue(deliver_again.verify())
+                deliver_again.close_database()
+        journal.path.write_bytes(whole)
+        with self.assertRaisesRegex(StoreError, r"its periods are 10 s; set \[ledger\] period to that"):
+            UsageJournal(self.folder / "book", 60)
+        database = sqlite3.connect(journal.path)
+        database.execute("UPDATE meta SET value = 9 WHERE name = 'format'")
+        database.commit()
+        database.close()
+        with self.assertRaisesRegex(StoreError, "format 9 is not supported, only format 1"):
+            self.journal()
+
+    def test_a_truncated_write_ahead_log(self) -> None:
+        """What was committed before remains."""
+        journal = self.journal()
+        journal.append([usage(1000.0)] * 10)
+        journal.append([usage(1001.0)] * 10)
+        log = journal.path.with_name(journal.path.name + "-wal")
         torn = log.read_bytes()[:-100]
         copied = self.folder / "copy"
         copied.mkdir()
-        (copied / book.path.name).write_bytes(book.path.read_bytes())
+        (copied / journal.path.name).write_bytes(journal.path.read_bytes())
         (copied / log.name).write_bytes(torn)
-        again = Book(copied, LENGTH)
-        self.assertEqual((sum(a.ops for a in again.totals().values()), again.verify()), (10, []))
-        again.close_file()
+        deliver_again = UsageJournal(copied, LENGTH)
+        self.assertEqual(
+            (sum(a.ops for a in deliver_again.totals().values()), deliver_again.verify()), (10, [])
+        )
+        deliver_again.close_database()
 
     def test_a_full_disk_loses_nothing_of_what_was_committed(self) -> None:
-        book = self.book()
-        book.append([use(1000.0)] * 10)
-        (pages,) = book.store.execute("PRAGMA page_count").fetchone()
-        book.store.execute(f"PRAGMA max_page_count = {pages + 2}")
+        journal = self.journal()
+        journal.append([usage(1000.0)] * 10)
+        (pages,) = journal.database.execute("PRAGMA page_count").fetchone()
+        journal.database.execute(f"PRAGMA max_page_count = {pages + 2}")
         with self.assertRaises(sqlite3.OperationalError):
-            book.append([use(1001.0, f"tenant {at}") for at in range(5000)])
-        self.assertEqual((sum(a.ops for a in book.totals().values()), book.verify()), (10, []))
-        book.append([use(1002.0)])
+            journal.append([usage(1001.0, f"tenant {at}") for at in range(5000)])
+        self.assertEqual((sum(a.ops for a in journal.totals().values()), journal.verify()), (10, []))
+        journal.append([usage(1002.0)])
 
-    def test_a_process_with_a_limit_of_file_size(self) -> None:
-        """Entries up to the limit stand; the book opens, and goes on once there is room."""
+    def test_a_file_size_limit(self) -> None:
+        """Entries up to the limit remain; the journal opens and continues once there is space."""
 
         def fill() -> None:
             signal.signal(signal.SIGXFSZ, signal.SIG_IGN)
             resource.setrlimit(resource.RLIMIT_FSIZE, (1 << 18, 1 << 18))
-            book = Book(self.folder / "book", LENGTH)
+            journal = UsageJournal(self.folder / "book", LENGTH)
             for _ in range(100):
-                book.append([use(1000.0)] * 100)
+                journal.append([usage(1000.0)] * 100)
 
-        self.assertEqual(killed(fill), 0)
-        book = self.book()
-        ops = sum(amounts.ops for amounts in book.totals().values())
+        self.assertEqual(run_until_killed(fill), 0)
+        journal = self.journal()
+        ops = sum(amounts.ops for amounts in journal.totals().values())
         self.assertTrue(0 < ops < 10_000 and ops % 100 == 0, ops)
-        book.append([use(1000.0)])
-        self.assertEqual(book.verify(), [])
-
-    def test_a_clock_set_back_an_hour_between_two_starts(self) -> None:
-        book = self.book()
-        book.append([use(5000.0)])
-        book.close(5020.0)
-        book.close_file()
-        again = self.book()
-        again.append([use(1400.0)])  # the first period that is open
-        self.assertEqual([entry.period for entry in again.entries()], [500, 501])
-        self.assertEqual(again.close(1420.0), [])
-        self.assertEqual(len(again.close(5040.0)), 1)
-        self.assertEqual(again.verify(), [])
+        journal.append([usage(1000.0)])
+        self.assertEqual(journal.verify(), [])
+
+    def test_a_clock_set_back_between_two_starts(self) -> None:
+        journal = self.journal()
+        journal.append([usage(5000.0)])
+        journal.close_periods(5020.0)
+        journal.close_database()
+        deliver_again = self.journal()
+        deliver_again.append([usage(1400.0)])  # counted in the first open period
+        self.assertEqual([entry.period for entry in deliver_again.entries()], [500, 501])
+        self.assertEqual(deliver_again.close_periods(1420.0), [])
+        self.assertEqual(len(deliver_again.close_periods(5040.0)), 1)
+        self.assertEqual(deliver_again.verify(), [])
 
     def test_corrections(self) -> None:
-        book = self.book()
-        book.append([use(1000.0)])
-        self.assertEqual([made.number for made in book.close(1020.0)], [1])
-        made = book.correct("1.1", Amounts(run=-100_000), "ann", "the run was ours")
-        self.assertEqual((made.line.corrects, made.period), ("1.1", 100))
+        journal = self.journal()
+        journal.append([usage(1000.0)])
+        self.assertEqual([made.number for made in journal.close_periods(1020.0)], [1])
+        made = journal.correct("1.1", Amounts(run=-100_000), "ann", "the run was ours")
+        self.assertEqual((made.key.corrects, made.period), ("1.1", 100))
         self.assertEqual(
-            [made.number for made in book.close(1020.0)], [2]
-        )  # the closed period's second version
-        self.assertEqual(book.close(1030.0), [])
-        second = wire.read_body((book.batch(2) or self.fail()).body)
+            [made.number for made in journal.close_periods(1020.0)], [2]
+        )  # second version of the closed period
+        self.assertEqual(journal.close_periods(1030.0), [])
+        second = wire.decode_body((journal.batch(2) or self.fail()).body)
         self.assertEqual((second.period, second.version, second.rows[0][1].run), (100, 2, -100_000))
-        for id_, who, why, said in (
-            ("1.9", "ann", "x", "has no entry 1.9"), ("2.1", "ann", "x", "has no entry 2.1"),
-            ("one", "ann", "x", "has no entry one"), ("1.2", "ann", "x", "is a correction; correct 1.1 "
-             "once more"),
-            ("1.1", "", "x", "needs who and why"), ("1.1", "ann", " ", "needs who and why"),
-        ):  # fmt: skip
-            with self.subTest(id=id_), self.assertRaisesRegex(BadBook, said):
-                book.correct(id_, Amounts(), who, why)
-        open_ = self.book(begin=False)  # of a period still open: it goes out with the close, once
-        open_.append([use(1040.0)])
+        for id_, who, why, expected in (
+            ("1.9", "ann", "x", "no entry 1.9"),
+            ("2.1", "ann", "x", "no entry 2.1"),
+            ("one", "ann", "x", "no entry one"),
+            ("1.2", "ann", "x", "is a correction; correct 1.1 again"),
+            ("1.1", "", "x", "needs a non-empty who and why"),
+            ("1.1", "ann", " ", "needs a non-empty who and why"),
+        ):
+            with self.subTest(id=id_), self.assertRaisesRegex(StoreError, expected):
+                journal.correct(id_, Amounts(), who, why)
+        open_ = self.journal(
+            is_start=False
+        )  # a correction in an open period is exported once, when it closes
+        open_.append([usage(1040.0)])
         open_.correct("1.3", Amounts(run=1), "ann", "x")
-        self.assertEqual(len(open_.close(1060.0)), 1)
-        self.assertEqual(open_.close(1080.0), [])
+        self.assertEqual(len(open_.close_periods(1060.0)), 1)
+        self.assertEqual(open_.close_periods(1080.0), [])
 
     def test_ten_thousand_tenants(self) -> None:
-        book = self.book()
-        book.append([use(1000.0, f"tenant {at}") for at in range(10_000)])
-        made = book.close(1020.0)
+        journal = self.journal()
+        journal.append([usage(1000.0, f"tenant {at}") for at in range(10_000)])
+        made = journal.close_periods(1020.0)
         self.assertEqual(len(made), 10)
-        self.assertLess(max(len((book.batch(one.number) or self.fail()).body) for one in made), wire.MOST)
-        self.assertLessEqual(len(book._names), 4096)
-        self.assertEqual(book.verify(), [])
+        self.assertLess(
+            max(len((journal.batch(one.number) or self.fail()).body) for one in made), wire.MAX_MESSAGE_BYTES
+        )
+        self.assertLessEqual(len(journal._id_by_name), 4096)
+        self.assertEqual(journal.verify(), [])
 
-    def test_folding_bounds_the_file(self) -> None:
-        book = self.book()
+    def test_compaction_bounds_the_file(self) -> None:
+        journal = self.journal()
         for at in range(0, 2000, 5):
-            book.append([use(1000.0 + at)] * 20)
-            for made in book.close(1000.0 + at):
-                book.marked(made.number)
-            book.fold(keep=4)
-        (entries,) = book.store.execute("SELECT COUNT(*) FROM entries").fetchone()
-        (batches,) = book.store.execute("SELECT COUNT(*) FROM batches").fetchone()
+            journal.append([usage(1000.0 + at)] * 20)
+            for made in journal.close_periods(1000.0 + at):
+                journal.record_acknowledged(made.number)
+            journal.compact(keep=4)
+        (entries,) = journal.database.execute("SELECT COUNT(*) FROM entries").fetchone()
+        (batches,) = journal.database.execute("SELECT COUNT(*) FROM batches").fetchone()
         self.assertLess((entries, batches), (400, 10))
-        self.assertEqual((sum(a.ops for a in book.totals().values()), book.verify()), (8000, []))
+        self.assertEqual((sum(a.ops for a in journal.totals().values()), journal.verify()), (8000, []))
 
-    def test_what_is_not_acknowledged_is_not_folded(self) -> None:
-        book = self.book()
+    def test_unacknowledged_periods_are_not_compacted(self) -> None:
+        journal = self.journal()
         for at in range(0, 500, 10):
-            book.append([use(1000.0 + at)])
-            book.close(1000.0 + at)
-            book.fold(keep=2)
-        self.assertEqual((book.meta("kept"), len(list(book.entries()))), (1, 50))
+            journal.append([usage(1000.0 + at)])
+            journal.close_periods(1000.0 + at)
+            journal.compact(keep=2)
+        self.assertEqual((journal.read_meta("kept"), len(list(journal.entries()))), (1, 50))
 
 
-class Wire(unittest.TestCase):
+class WireTest(unittest.TestCase):
     says = (Hello("n1", bytes(16), 7), Welcome(bytes(16), 0, b""), Batch(1, b"", b"body"),
-            Taken(3, bytes(32)),
-            Refused("no"), Hello("", b"", 0))  # fmt: skip
+            Acknowledgement(3, bytes(32)),
+            Rejection("no"), Hello("", b"", 0))  # fmt: skip
 
-    def test_cut_anywhere(self) -> None:
+    def test_messages_split_anywhere(self) -> None:
         data = b"".join(map(wire.encode, self.says))
         for size in (1, 3, 4, 5, 50):
-            reader = wire.Reader()
+            reader = wire.FrameReader()
             pieces = [data[at : at + size] for at in range(0, len(data), size)]
             self.assertEqual([say for piece in pieces for say in reader.feed(piece)], list(self.says))
 
-    def test_what_is_none(self) -> None:
+    def test_invalid_messages(self) -> None:
         for data in (b"\xff\xff\xff\xff", b"\0\0\0\1\xff", b"\0\0\0\0", b"GET / HTTP/1.1\r\n\r\n"):
-            with self.subTest(data=data), self.assertRaises(wire.BadSay):
-                list(wire.Reader().feed(data))
-        with self.assertRaises(wire.BadSay):
-            wire.read_body(b"\xff")
+            with self.subTest(data=data), self.assertRaises(wire.ProtocolError):
+                list(wire.FrameReader().feed(data))
+        with self.assertRaises(wire.ProtocolError):
+            wire.decode_body(b"\xff")
 
-    def test_bodies_are_the_same_bytes_each_time(self) -> None:
-        rows = [(Line(f"t{at}", "look", Kind.ACKED), Amounts(at, -at)) for at in range(2500)]
+    def test_bodies_encode_to_the_same_bytes(self) -> None:
+        rows = [(UsageKey(f"t{at}", "look", Kind.ACKED), Amounts(at, -at)) for at in range(2500)]
         mixed = Random(3).sample(rows, len(rows))
-        cut = wire.parts(mixed)
-        self.assertEqual(([len(part) for part in cut], cut), ([1000, 1000, 500], wire.parts(rows)))
-        body = Body(3, 100, 1, 1, 3, 10, cut[0])
-        self.assertEqual(wire.read_body(wire.body(body)), body)
+        drop_connection = wire.split_rows(mixed)
+        self.assertEqual(
+            ([len(part) for part in drop_connection], drop_connection),
+            ([1000, 1000, 500], wire.split_rows(rows)),
+        )
+        body = BatchBody(3, 100, 1, 1, 3, 10, drop_connection[0])
+        self.assertEqual(wire.decode_body(wire.encode_body(body)), body)
 
 
-def chain(many: int) -> list[Batch]:
+def batch_chain(many: int) -> list[Batch]:
     found: list[Batch] = []
     for number in range(1, many + 1):
-        row = (Line("north", "look", Kind.ACKED), Amounts(ops=number))
-        body = wire.body(Body(number, number, 1, 1, 1, LENGTH, (row,)))
+        row = (UsageKey("north", "look", Kind.ACKED), Amounts(ops=number))
+        body = wire.encode_body(BatchBody(number, number, 1, 1, 1, LENGTH, (row,)))
         found.append(Batch(number, found[-1].hash if found else b"", body))
     return found
 
 
-class Model:
-    """A sender, a receiver, and what is on its way between them, each way in order; a connection may go at
-    any time."""
+class ExportModel:
+    """A sender, a receiver, and the messages between them, in order; the connection may fail at any time."""
 
-    batches = chain(6)
+    batches = batch_chain(6)
 
     def __init__(self) -> None:
         self.now, self.acked, self.kept = 0.0, 0, dict[int, bytes]()
         self.effects: dict[int, int] = {}
         self.made, self.restored = 0, False
-        self.up = False
-        self.out: list[Any] = []
-        self.back: list[Any] = []
+        self.is_connected = False
+        self.to_receiver: list[Any] = []
+        self.to_sender: list[Any] = []
         self.restart()
 
     def restart(self) -> None:
-        self.sender = Sender(Random(1), self.acked, self.made, 1, b"R" * 16 if self.acked else b"")
+        self.sender = ExportSender(Random(1), self.acked, self.made, 1, b"R" * 16 if self.acked else b"")
         for batch in self.batches[: self.made]:
-            self.sender.made(batch.number, batch.hash)
-        self.cut()
+            self.sender.add_batch(batch.number, batch.hash)
+        self.drop_connection()
 
-    def cut(self) -> None:
-        self.up, self.out, self.back = False, [], []
+    def drop_connection(self) -> None:
+        self.is_connected, self.to_receiver, self.to_sender = False, [], []
 
-    def do(self, actions: list[export.Action]) -> None:
+    def perform(self, actions: list[export.Action]) -> None:
         for action in actions:
             match action:
-                case Drop():
-                    self.cut()
-                case Greet():
-                    self.out.append("hello")
-                case Send(number):
-                    self.out.append(number)
-                case Mark(number):
+                case CloseConnection():
+                    self.drop_connection()
+                case SendHello():
+                    self.to_receiver.append("hello")
+                case SendBatch(number):
+                    self.to_receiver.append(number)
+                case RecordAcknowledged(number):
                     self.acked = max(self.acked, number)
-                case Dial():
-                    self.up = True
-                case Pin():
+                case Connect():
+                    self.is_connected = True
+                case RecordReceiver():
                     pass
 
-    def held(self) -> Held:
+    def held(self) -> StoredPrefix:
         high = 0
         while high + 1 in self.kept:
             high += 1
-        return Held(high, self.kept.get(high, b""))
+        return StoredPrefix(high, self.kept.get(high, b""))
 
-    def moves(self) -> list[str]:
+    def possible_moves(self) -> list[str]:
         can = (
             ["restart"]
             + ["make"] * (self.made < 6)
             + ["restore"] * (not self.restored and len(self.kept) > 1)
         )
-        if self.up:
+        if self.is_connected:
             can.append("lose")
-            if self.sender.at == At.DIALING:
+            if self.sender.state == ExportState.CONNECTING:
                 can.append("connect")
-            can += ["deliver"] * bool(self.out) + ["answer"] * bool(self.back)
-        if self.sender.next() < float("inf") or self.sender.at == At.SENDING:
+            can += ["deliver"] * bool(self.to_receiver) + ["answer"] * bool(self.to_sender)
+        if self.sender.next_advance_at() < float("inf") or self.sender.state == ExportState.SENDING:
             can.append("tick")
         return can
 
-    def move(self, what: str) -> None:
+    def make_move(self, what: str) -> None:
         sender = self.sender
         if what == "restart":
             self.restart()
         elif what == "make":
             self.made += 1
-            sender.made(self.made, self.batches[self.made - 1].hash)
-        elif what == "restore":  # the receiver comes back from an older copy, as the connection goes
+            sender.add_batch(self.made, self.batches[self.made - 1].hash)
+        elif what == "restore":  # the receiver is restored from a backup while disconnected
             self.restored = True
             for number in range(len(self.kept) // 2 + 1, len(self.kept) + 1):
                 del self.kept[number], self.effects[number]
-            self.move("lose")
+            self.make_move("lose")
         elif what == "lose":
-            self.cut()
-            self.do(sender.lost(self.now, "cut"))
+            self.drop_connection()
+            self.perform(sender.connection_lost(self.now, "cut"))
         elif what == "connect":
-            self.do(sender.connected(self.now))
+            self.perform(sender.connection_opened(self.now))
         elif what == "tick":
-            self.now = max(self.now, min(sender.next(), self.now + 100))
-            self.do(sender.step(self.now))
+            self.now = max(self.now, min(sender.next_advance_at(), self.now + 100))
+            self.perform(sender.advance(self.now))
         elif what == "deliver":
-            said = self.out.pop(0)
-            if said == "hello":
-                self.back.append(Welcome(b"R" * 16, *self.held()))
+            message = self.to_receiver.pop(0)
+            if message == "hello":
+                self.to_sender.append(Welcome(b"R" * 16, *self.held()))
                 return
-            batch = self.batches[said - 1]
-            verdict = judge(self.held(), self.kept, batch)
+            batch = self.batches[message - 1]
+            verdict = check_batch(self.held(), self.kept, batch)
             if verdict is None:
-                self.kept[said] = batch.hash
-                self.effects[said] = self.effects.get(said, 0) + 1
-                verdict = Taken(*self.held())
-            self.back.append(verdict)
+                self.kept[message] = batch.hash
+                self.effects[message] = self.effects.get(message, 0) + 1
+                verdict = Acknowledgement(*self.held())
+            self.to_sender.append(verdict)
         elif what == "answer":
-            said = self.back.pop(0)
-            match said:
+            message = self.to_sender.pop(0)
+            match message:
                 case Welcome():
-                    self.do(sender.welcomed(self.now, said))
-                case Taken():
-                    self.do(sender.taken(self.now, said))
-                case Refused():
-                    self.do(sender.refused(said))
+                    self.perform(sender.receive_welcome(self.now, message))
+                case Acknowledgement():
+                    self.perform(sender.receive_acknowledgement(self.now, message))
+                case Rejection():
+                    self.perform(sender.receive_rejection(message))
 
-    def key(self) -> tuple[Any, ...]:
+    def state_key(self) -> tuple[Any, ...]:
         s = self.sender
-        back = tuple(
-            type(one).__name__ + str(one[1] if isinstance(one, Welcome) else one[0]) for one in self.back
+        to_sender = tuple(
+            type(one).__name__ + str(one[1] if isinstance(one, Welcome) else one[0]) for one in self.to_sender
         )
         return (
             self.made,
             self.restored,
-            s.at,
-            s.acked,
-            s.sent,
+            s.state,
+            s.acknowledged,
+            s.last_sent,
             self.acked,
             tuple(self.kept),
-            self.up,
-            tuple(self.out),
-            back,
+            self.is_connected,
+            tuple(self.to_receiver),
+            to_sender,
         )
 
 
-class Export(unittest.TestCase):
-    @mock.patch.object(export, "WINDOW", 2)
-    def test_explored_in_full(self) -> None:
-        """Six batches, losses and restarts anywhere: each has its effect once, and none waits for ever."""
-        first = Model()
-        found, left = {first.key()}, [first]
+class ExportSenderTest(unittest.TestCase):
+    @mock.patch.object(export, "MAX_UNACKNOWLEDGED_BATCHES", 2)
+    def test_all_reachable_states(self) -> None:
+        """With losses and restarts anywhere, each of six batches is counted once, and all arrive."""
+        first = ExportModel()
+        found, left = {first.state_key()}, [first]
         while left:
             here = left.pop()
             self.assertLessEqual(max(here.effects.values(), default=0), 1)
-            self.assertNotEqual(here.sender.at, At.HALTED, here.sender.why)
+            self.assertNotEqual(here.sender.state, ExportState.HALTED, here.sender.reason)
             self.assertTrue(here.restored or here.acked <= here.held().high)
-            for move in here.moves():
+            for make_move in here.possible_moves():
                 there = copy.deepcopy(here)
-                there.move(move)
-                if (key := there.key()) not in found:
-                    found.add(key)
+                there.make_move(make_move)
+                if (state_key := there.state_key()) not in found:
+                    found.add(state_key)
                     left.append(there)
-                    self.settles(there)
+                    self.assert_all_arrive(there)
         self.assertGreater(len(found), 300, len(found))
 
-    def settles(self, model: Model) -> None:
-        """With the link whole from here on, all six arrive."""
+    def assert_all_arrive(self, model: ExportModel) -> None:
+        """If no connection fails from here on, all six batches arrive."""
         model = copy.deepcopy(model)
         for _ in range(200):
-            moves = [move for move in model.moves() if move not in ("restart", "lose", "restore")]
-            if (model.acked == 6 and model.held().high == 6) or not moves:
+            possible_moves = [
+                make_move
+                for make_move in model.possible_moves()
+                if make_move not in ("restart", "lose", "restore")
+            ]
+            if (model.acked == 6 and model.held().high == 6) or not possible_moves:
                 break
-            busy = [move for move in moves if move != "tick"]
-            model.move((busy or moves)[0])
-        self.assertEqual((model.acked, model.held().high), (6, 6), model.key())
-
-    def test_what_a_person_must_look_at(self) -> None:
-        hashes = {batch.number: batch.hash for batch in chain(6)}
-        cases: list[tuple[str, Welcome | Taken | Refused]] = [
-            ("another receiver", Welcome(b"X" * 16, 0, b"")),
-            ("its batch 3 is not ours", Welcome(b"R" * 16, 3, bytes(32))),
-            ("the last made is 6", Welcome(b"R" * 16, 7, bytes(32))),
-            ("it lacks batches from 1", Welcome(b"R" * 16, 0, b"")),
-            ("which was not sent", Taken(6, hashes[6])), ("its batch 5 is not ours", Taken(5, bytes(32))),
-            ("the receiver refuses: no", Refused("no")),
-        ]  # fmt: skip
-        for why, said in cases:
+            busy = [make_move for make_move in possible_moves if make_move != "tick"]
+            model.make_move((busy or possible_moves)[0])
+        self.assertEqual((model.acked, model.held().high), (6, 6), model.state_key())
+
+    def test_errors_that_halt_the_export(self) -> None:
+        hashes = {batch.number: batch.hash for batch in batch_chain(6)}
+        cases: list[tuple[str, Welcome | Acknowledgement | Rejection]] = [
+            ("a different receiver answered", Welcome(b"X" * 16, 0, b"")),
+            ("holds another batch 3 than", Welcome(b"R" * 16, 3, bytes(32))),
+            ("the last one created is 6", Welcome(b"R" * 16, 7, bytes(32))),
+            ("lacks batches from 1 on", Welcome(b"R" * 16, 0, b"")),
+            ("which was not sent", Acknowledgement(6, hashes[6])),
+            ("holds another batch 5 than", Acknowledgement(5, bytes(32))),
+            ("receiver rejected the export: no", Rejection("no")),
+        ]
+        for why, message in cases:
             with self.subTest(why=why):
-                sender = Sender(Random(1), 3, 5 if "not sent" in why else 6, 3, b"R" * 16)
+                sender = ExportSender(Random(1), 3, 5 if "not sent" in why else 6, 3, b"R" * 16)
                 sender.hashes = dict(hashes)
-                sender.step(0.0)
-                sender.connected(0.0)
-                if isinstance(said, Welcome):
-                    actions = sender.welcomed(0.0, said)
+                sender.advance(0.0)
+                sender.connection_opened(0.0)
+                if isinstance(message, Welcome):
+                    actions = sender.receive_welcome(0.0, message)
                 else:
-                    sender.welcomed(0.0, Welcome(b"R" * 16, 3, hashes[3]))
-                    actions = sender.taken(0.0, said) if isinstance(said, Taken) else sender.refused(said)
-                self.assertEqual((actions[-1:], sender.at), ([Drop()], At.HALTED))
-                self.assertIn(why, sender.why)
-                self.assertEqual((sender.step(99.0), sender.next()), ([], float("inf")))
-
-    def test_waits_grow_and_the_budget_stops_storms(self) -> None:
-        sender, now, waits = Sender(Random(1), 0, 6, 1, b""), 0.0, []
+                    sender.receive_welcome(0.0, Welcome(b"R" * 16, 3, hashes[3]))
+                    actions = (
+                        sender.receive_acknowledgement(0.0, message)
+                        if isinstance(message, Acknowledgement)
+                        else sender.receive_rejection(message)
+                    )
+                self.assertEqual((actions[-1:], sender.state), ([CloseConnection()], ExportState.HALTED))
+                self.assertIn(why, sender.reason)
+                self.assertEqual((sender.advance(99.0), sender.next_advance_at()), ([], float("inf")))
+
+    def test_delays_grow_and_the_budget_limits_retries(self) -> None:
+        sender, now, waits = ExportSender(Random(1), 0, 6, 1, b""), 0.0, []
         for _ in range(20):
-            self.assertEqual(sender.step(now), [Dial()])
-            sender.lost(now, "refused")
-            waits.append(sender.again_at - now)
-            now = sender.again_at
+            self.assertEqual(sender.advance(now), [Connect()])
+            sender.connection_lost(now, "refused")
+            waits.append(sender.next_step_at - now)
+            now = sender.next_step_at
         self.assertLess(waits[0], 0.3)
         self.assertTrue(all(15.0 <= wait <= 30.0 for wait in waits[10:]))
-        for _ in range(2):  # no answer, in greeting and in sending
-            sender.step(now)
-            sender.connected(now)
-            now = sender.next()
-            self.assertEqual(sender.step(now), [Drop()])
-            now = sender.again_at
-
-
-class Vaults(Places):
-    def test_any_order_any_number_of_times(self) -> None:
-        """The same set of batches gives the same statement, byte for byte."""
-        batches, statements = chain(6), set()
+        for _ in range(2):  # response timeouts, while greeting and while sending
+            sender.advance(now)
+            sender.connection_opened(now)
+            now = sender.next_advance_at()
+            self.assertEqual(sender.advance(now), [CloseConnection()])
+            now = sender.next_step_at
+
+
+class ExportStoreTest(StoreTestCase):
+    def test_batches_in_any_order_and_number(self) -> None:
+        """The same set of batches always gives the same statement."""
+        batches, statements = batch_chain(6), set()
         for seed in range(12):
             with tempfile.TemporaryDirectory() as folder:
-                vault = Vault(Path(folder))
-                vault.greet(b"B" * 16, "n1")
+                store = ExportStore(Path(folder))
+                store.register_journal(b"B" * 16, "n1")
                 many = Random(seed).choices(batches, k=20) + Random(seed).sample(batches, 6)
                 for batch in many:
-                    self.assertIsInstance(vault.take(b"B" * 16, batch), Taken)
-                statements.add(repr(statement.statement(vault.streams())))
-                self.assertEqual((vault.held(b"B" * 16), vault.verify()), (Held(6, batches[5].hash), []))
-                vault.close_file()
+                    self.assertIsInstance(store.store_batch(b"B" * 16, batch), Acknowledgement)
+                statements.add(repr(statement.statement(store.received_journals())))
+                self.assertEqual(
+                    (store.stored_prefix(b"B" * 16), store.verify()), (StoredPrefix(6, batches[5].hash), [])
+                )
+                store.close_database()
         self.assertEqual(len(statements), 1)
 
     def test_killed_at_every_step(self) -> None:
-        batches = chain(4)
+        batches = batch_chain(4)
         for name, nth in itertools.product(("receive", "keep", "kept"), (1, 3)):
             with self.subTest(name=name, nth=nth), tempfile.TemporaryDirectory() as folder:
-                made = Vault(Path(folder))
-                made.close_file()
+                made = ExportStore(Path(folder))
+                made.close_database()
 
                 def take(folder: str = folder, name: str = name, nth: int = nth) -> None:
-                    vault = Vault(Path(folder), Step(name, nth, kill_self))
-                    vault.greet(b"B" * 16, "n1")
+                    store = ExportStore(Path(folder), Failpoint(name, nth, kill_self))
+                    store.register_journal(b"B" * 16, "n1")
                     for batch in batches:
-                        vault.take(b"B" * 16, batch)
+                        store.store_batch(b"B" * 16, batch)
 
-                self.assertEqual(killed(take), signal.SIGKILL)
-                again = Vault(Path(folder))
-                self.assertEqual(again.mark, made.mark)
-                self.assertEqual(again.held(b"B" * 16).high, nth - (name != "kept"))
+                self.assertEqual(run_until_killed(take), signal.SIGKILL)
+                deliver_again = ExportStore(Path(folder))
+                self.assertEqual(deliver_again.receiver_id, made.receiver_id)
+                self.assertEqual(deliver_again.stored_prefix(b"B" * 16).high, nth - (name != "kept"))
                 for batch in batches:
-                    again.take(b"B" * 16, batch)
-                self.assertEqual((again.held(b"B" * 16).high, again.verify()), (4, []))
-                again.close_file()
-
-    def test_what_does_not_fit(self) -> None:
-        vault, batches = self.vault(), chain(4)
+                    deliver_again.store_batch(b"B" * 16, batch)
+                self.assertEqual(
+                    (deliver_again.stored_prefix(b"B" * 16).high, deliver_again.verify()), (4, [])
+                )
+                deliver_again.close_database()
+
+    def test_invalid_batches_are_rejected(self) -> None:
+        store, batches = self.store(), batch_chain(4)
         other = batches[1]._replace(body=batches[1].body + b"\x28\x09")
         lying = Batch(1, b"", batches[1].body)
-        vault.greet(b"B" * 16, "n1")
-        for batch, said in (
+        store.register_journal(b"B" * 16, "n1")
+        for batch, expected in (
             (batches[0], None), (batches[1], None), (other, "another batch 2 is here already"),
             (batches[2]._replace(before=bytes(32)), "batch 3 does not follow"),
             (batches[2]._replace(before=b""), "stand"),
             (Batch(3, batches[1].hash, b"\xff"), "can't be read"), (lying, "batch 1 says that it is 2"),
             (Batch(0, b"", b""), "stand"), (batches[3], None), (batches[2], None),
         ):  # fmt: skip
-            answer = vault.take(b"B" * 16, batch)
-            self.assertEqual(answer.why if isinstance(answer, Refused) and said is None else None, None)
-            if said:
-                assert isinstance(answer, Refused), said
-                self.assertIn(said, answer.why)
-        self.assertEqual((vault.held(b"B" * 16).high, vault.verify()), (4, []))
-
-    def test_two_books_under_one_name_and_gaps(self) -> None:
-        batches = chain(4)
-        streams = [
-            Stream(b"A" * 16, "n1", {1: batches[0], 3: batches[2]}), Stream(b"B" * 16, "n1", {1: batches[0]}),
-        ]  # fmt: skip
-        said = statement.reconcile(streams)
-        self.assertEqual(len(said), 2)
-        self.assertIn("n1: batches 2 to 2 are missing", said[0])
-        self.assertIn("2 books under one name", said[1])
-        self.assertEqual([row["ops"] for row in statement.statement(streams)], [2])
-        self.assertEqual(len(statement.explain(streams, "north", 1)), 2)
-
-
-class BothSides(RuleBasedStateMachine):
-    """Any order of use, closes, corrections, crashes, deliveries and copies leaves the sums equal on both
-    sides."""
+            answer = store.store_batch(b"B" * 16, batch)
+            self.assertEqual(answer.why if isinstance(answer, Rejection) and expected is None else None, None)
+            if expected:
+                assert isinstance(answer, Rejection), expected
+                self.assertIn(expected, answer.why)
+        self.assertEqual((store.stored_prefix(b"B" * 16).high, store.verify()), (4, []))
+
+    def test_reconcile_finds_duplicate_names_and_gaps(self) -> None:
+        batches = batch_chain(4)
+        received_journals = [
+            ReceivedJournal(b"A" * 16, "n1", {1: batches[0], 3: batches[2]}),
+            ReceivedJournal(b"B" * 16, "n1", {1: batches[0]}),
+        ]
+        findings = statement.reconcile(received_journals)
+        self.assertEqual(len(findings), 2)
+        self.assertIn("n1: batches 2 to 2 are missing", findings[0])
+        self.assertIn("2 journals under one name", findings[1])
+        self.assertEqual([row["ops"] for row in statement.statement(received_journals)], [2])
+        self.assertEqual(len(statement.explain(received_journals, "north", 1)), 2)
+
+
+class JournalAndStoreMachine(RuleBasedStateMachine):
+    """Any order of usage, closes, corrections, crashes and deliveries leaves the same sums on both sides."""
 
     @initialize()
     def begin(self) -> None:
         self.folder = tempfile.TemporaryDirectory()
-        self.at, self.now, self.truth = Path(self.folder.name), 1000.0, dict[str, int]()
-        self.starts, self.old = 0, list[Batch]()
-        self.open_book()
-        self.vault = Vault(self.at / "vault")
+        self.at, self.now, self.expected_run_times = Path(self.folder.name), 1000.0, dict[str, int]()
+        self.starts, self.delivered = 0, list[Batch]()
+        self.open_journal()
+        self.store = ExportStore(self.at / "vault")
 
-    def open_book(self) -> None:
-        self.book = Book(self.at / "book", LENGTH, durable=False)
+    def open_journal(self) -> None:
+        self.journal = UsageJournal(self.at / "book", LENGTH, durable=False)
 
     @rule(tenants=st.lists(st.sampled_from("abc"), min_size=1, max_size=5), later=st.floats(-30, 30))
-    def use(self, tenants: list[str], later: float) -> None:
+    def usage(self, tenants: list[str], later: float) -> None:
         self.now = max(1000.0, self.now + later)
-        self.book.append([use(self.now, tenant, run=1.0) for tenant in tenants])
+        self.journal.append([usage(self.now, tenant, run=1.0) for tenant in tenants])
         for tenant in tenants:
-            self.truth[tenant] = self.truth.get(tenant, 0) + 1_000_000
+            self.expected_run_times[tenant] = self.expected_run_times.get(tenant, 0) + 1_000_000
 
     @rule()
     def close(self) -> None:
-        self.book.close(self.now)
+        self.journal.close_periods(self.now)
 
     @rule(pick=st.integers(0, 99), run=st.integers(-9, 9))
     def correct(self, pick: int, run: int) -> None:
-        entries = [entry for entry in self.book.entries() if entry.line.kind != Kind.CORRECTION]
+        entries = [entry for entry in self.journal.entries() if entry.key.kind != Kind.CORRECTION]
         if entries:
             entry = entries[pick % len(entries)]
-            self.book.correct(entry.id, Amounts(run=run), "ann", "test")
-            self.truth[entry.line.tenant] += run
+            self.journal.correct(entry.id, Amounts(run=run), "ann", "test")
+            self.expected_run_times[entry.key.tenant] += run
 
     @rule(step=st.sampled_from(("commit", "closing", "folding", "acknowledge")))
     def crash(self, step: str) -> None:
-        """In the middle of whatever comes; nothing of it stands."""
-        self.book.step = Step(step)
+        """Crash within the next transaction, which is rolled back."""
+        self.journal.failpoint = Failpoint(step)
         try:
-            self.book.append([use(self.now, "a")])
-            self.truth["a"] = self.truth.get("a", 0) + 250_000
-            self.book.close(self.now + 50)
-            self.book.marked(self.book.meta("acked"))
-            self.book.fold(keep=1)
+            self.journal.append([usage(self.now, "a")])
+            self.expected_run_times["a"] = self.expected_run_times.get("a", 0) + 250_000
+            self.journal.close_periods(self.now + 50)
+            self.journal.record_acknowledged(self.journal.read_meta("acked"))
+            self.journal.compact(keep=1)
         except Killed:
             pass
-        self.book.close_file()
-        self.open_book()
+        self.journal.close_database()
+        self.open_journal()
 
     @rule(times=st.integers(1, 3), lost=st.booleans())
     def deliver(self, times: int, lost: bool) -> None:
-        held = self.vault.greet(self.book.mark, "n1")
-        for number in range(held.high + 1, self.book.last()[0] + 1):
-            batch = self.book.batch(number)
+        held = self.store.register_journal(self.journal.journal_id, "n1")
+        for number in range(held.high + 1, self.journal.last_batch()[0] + 1):
+            batch = self.journal.batch(number)
             assert batch is not None
-            self.old = [*self.old[-5:], batch]
+            self.delivered = [*self.delivered[-5:], batch]
             for _ in range(times):
-                assert isinstance(self.vault.take(self.book.mark, batch), Taken)
+                assert isinstance(self.store.store_batch(self.journal.journal_id, batch), Acknowledgement)
         if not lost:
-            self.book.marked(self.vault.held(self.book.mark).high)
+            self.journal.record_acknowledged(self.store.stored_prefix(self.journal.journal_id).high)
 
     @rule()
-    def again(self) -> None:
-        for batch in self.old:
-            assert isinstance(self.vault.take(self.book.mark, batch), Taken)
+    def deliver_again(self) -> None:
+        for batch in self.delivered:
+            assert isinstance(self.store.store_batch(self.journal.journal_id, batch), Acknowledgement)
 
     @rule()
-    def fold(self) -> None:
-        self.book.fold(keep=2)
+    def compact(self) -> None:
+        self.journal.compact(keep=2)
 
     @rule()
     def restart_the_receiver(self) -> None:
-        self.vault.close_file()
-        self.vault = Vault(self.at / "vault")
+        self.store.close_database()
+        self.store = ExportStore(self.at / "vault")
 
     @invariant()
-    def sound(self) -> None:
+    def check_consistency(self) -> None:
         if hasattr(self, "vault"):
-            assert self.book.verify() == []
-            assert self.vault.verify() == []
+            assert self.journal.verify() == []
+            assert self.store.verify() == []
 
     def teardown(self) -> None:
         if not hasattr(self, "vault"):
             return
-        self.book.close(self.now + 1000)
+        self.journal.close_periods(self.now + 1000)
         self.deliver(1, False)
         ours: dict[str, int] = {}
         theirs: dict[str, int] = {}
-        for found, lines in ((ours, self.book.totals()), (theirs, statement.charged(self.vault.streams()))):
+        for found, lines in (
+            (ours, self.journal.totals()),
+            (theirs, statement.charged_totals(self.store.received_journals())),
+        ):
             for line, amounts in lines.items():
                 found[line.tenant] = found.get(line.tenant, 0) + amounts.run
         try:
-            assert ours == theirs == self.truth, (ours, theirs, self.truth)
+            assert ours == theirs == self.expected_run_times, (ours, theirs, self.expected_run_times)
         finally:
-            self.book.close_file()
-            self.vault.close_file()
+            self.journal.close_database()
+            self.store.close_database()
             self.folder.cleanup()
 
 
-BothSides.TestCase.settings = settings(
+JournalAndStoreMachine.TestCase.settings = settings(
     max_examples=40, stateful_step_count=25, derandomize=True, deadline=None, database=None
 )
-TestBothSides = BothSides.TestCase
+TestJournalAndStore = JournalAndStoreMachine.TestCase
--- a/thymeyoke/ledger/__init__.py
+++ b/thymeyoke/ledger/__init__.py
@@ -1,1 +1,1 @@
-"""Use by tenant, in closed periods, exported exactly once; docs/ledger.md has the whole."""
+"""Usage per tenant: recorded in closed periods and exported exactly once."""
--- a/thymeyoke/ledger/commands.py
+++ b/thymeyoke/ledger/commands.py
@@ -1,4 +1,4 @@
-"""`thymeyoke ledger`: the book of an instance, and the receiving side."""
+"""The command `thymeyoke ledger`: the usage journal of an app server, and the receiver of exports."""
 
 from __future__ import annotations
 
@@ -12,64 +12,73 @@
 import click
 import orjson
 
-from thymeyoke.ledger import export_store as vaults
+from thymeyoke.ledger import export_store, usage_journal
 from thymeyoke.ledger import statement as statements
-from thymeyoke.ledger import usage_journal as books
-from thymeyoke.ledger.export_store import Vault
-from thymeyoke.ledger.usage_entries import MICRO, Amounts
-from thymeyoke.ledger.usage_journal import BadBook, Book
+from thymeyoke.ledger.export_store import ExportStore
+from thymeyoke.ledger.usage_entries import MICRO_UNITS, Amounts
+from thymeyoke.ledger.usage_journal import StoreError, UsageJournal
 
-UNITS = ("ops", "run", "calls", "importance", "octets")
+AMOUNT_NAMES = ("ops", "run", "calls", "importance", "octets")
 
-folder = click.option("--path", required=True, type=click.Path(path_type=Path), help="The ledger's folder.")
+path_option = click.option(
+    "--path", required=True, type=click.Path(path_type=Path), help="The ledger's folder."
+)
 json_option = click.option("--json", "as_json", is_flag=True, help="JSON lines; amounts in whole units.")
 
 
 @click.group("ledger")
 def group() -> None:
-    """Use by tenant: the book of an instance (show, correct, verify), the receiver (receive, statement,
-    explain)."""
+    """Usage by tenant: the journal of an app server, and the receiver of exports.
+
+    show, correct and verify read a journal; receive, statement and explain are for the receiver.
+    """
 
 
 @contextmanager
-def _book(path: Path) -> Iterator[Book]:
-    """A book that is there: none is made by a look at it."""
-    if not (path / books.FILE).exists():
-        raise click.ClickException(f"{path} holds no book ({books.FILE}); name the folder of [ledger] path")
+def _open_journal(path: Path) -> Iterator[UsageJournal]:
+    """Open an existing usage journal; a missing one is an error and is not created."""
+    if not (path / usage_journal.FILE_NAME).exists():
+        raise click.ClickException(
+            f"{path} contains no usage journal ({usage_journal.FILE_NAME}); give the folder of [ledger] path"
+        )
     try:
-        store = books.connect(path / books.FILE)
-        (length,) = store.execute("SELECT value FROM meta WHERE name = 'length'").fetchone()
-        store.close()
-        book = Book(path, length, begin=False)
-    except (BadBook, sqlite3.Error) as error:
+        database = usage_journal.open_database(path / usage_journal.FILE_NAME)
+        (length,) = database.execute("SELECT value FROM meta WHERE name = 'length'").fetchone()
+        database.close()
+        journal = UsageJournal(path, length, is_start=False)
+    except (StoreError, sqlite3.Error) as error:
         raise click.ClickException(
-            f"{path / books.FILE}: {error}".replace(f"{path / books.FILE}: " * 2, "")
+            f"{path / usage_journal.FILE_NAME}: {error}".replace(
+                f"{path / usage_journal.FILE_NAME}: " * 2, ""
+            )
         ) from None
     try:
-        yield book
-    except BadBook as error:
+        yield journal
+    except StoreError as error:
         raise click.ClickException(str(error)) from None
     finally:
-        book.close_file()
+        journal.close_database()
 
 
 @contextmanager
-def _vault(path: Path) -> Iterator[Vault]:
-    if not (path / vaults.FILE).exists():
+def _open_store(path: Path) -> Iterator[ExportStore]:
+    """Open an existing export store; a missing one is an error and is not created."""
+    if not (path / export_store.FILE_NAME).exists():
         raise click.ClickException(
-            f"{path} holds nothing received ({vaults.FILE}); name the receiver's folder"
+            f"{path} contains no export store ({export_store.FILE_NAME}); give the receiver's folder"
         )
     try:
-        vault = Vault(path)
-    except BadBook as error:
+        store = ExportStore(path)
+    except StoreError as error:
         raise click.ClickException(str(error)) from None
     try:
-        yield vault
+        yield store
     finally:
-        vault.close_file()
+        store.close_database()
 
 
 def _print(rows: list[dict[str, Any]], as_json: bool) -> None:
+    """Print rows as JSON lines or as an aligned table."""
     if as_json:
         for row in rows:
             click.echo(orjson.dumps(row).decode())
@@ -84,90 +93,103 @@
 
 
 def _cell(name: str, value: Any) -> str:
+    """Format one value for the table; run times and priority weights are shown in whole units."""
     if name in ("run", "importance"):
-        return f"{value / MICRO:.6f}"
+        return f"{value / MICRO_UNITS:.6f}"
     return {True: "yes", False: "no"}.get(value, str(value)) if isinstance(value, bool) else str(value)
 
 
 @group.command()
-@folder
+@path_option
 @click.option("--tenant")
 @click.option("--period", type=int)
 @json_option
 def show(path: Path, tenant: str | None, period: int | None, as_json: bool) -> None:
-    """Entries of an instance's book that were not yet folded.
+    """Show the entries of a usage journal that were not compacted yet.
 
     \b
     Example: python -m thymeyoke ledger show --path /var/lib/thymeyoke/ledger --tenant north --json
     """
-    with _book(path) as book:
+    with _open_journal(path) as journal:
         rows = [
-            {"entry": e.id, "op": e.op, "period": e.period, "tenant": e.line.tenant, "type": e.line.type,
-             "kind": e.line.kind.name.lower(), **e.amounts._asdict(), "corrects": e.line.corrects,
-             "who": e.line.who, "why": e.line.why}
-            for e in book.entries(period, tenant)
-        ]  # fmt: skip
+            {
+                "entry": e.id,
+                "op": e.request_id,
+                "period": e.period,
+                "tenant": e.key.tenant,
+                "type": e.key.type,
+                "kind": e.key.kind.name.lower(),
+                **e.amounts._asdict(),
+                "corrects": e.key.corrects,
+                "who": e.key.who,
+                "why": e.key.why,
+            }
+            for e in journal.entries(period, tenant)
+        ]
     _print(rows, as_json)
 
 
 @group.command()
-@folder
-@click.option("--entry", required=True, help="As ledger show names it.")
-@click.option("--amount", required=True, help="What to add: ops=-1,run=-0.25,calls=0,importance=0,octets=0")
+@path_option
+@click.option("--entry", required=True, help="ID of the entry, as printed by ledger show.")
+@click.option(
+    "--amount", required=True, help="Amounts to add: ops=-1,run=-0.25,calls=0,importance=0,octets=0"
+)
 @click.option("--why", required=True)
-@click.option("--who", default=getpass.getuser, help="By itself the user.")
+@click.option("--who", default=getpass.getuser, help="Defaults to the current user.")
 def correct(path: Path, entry: str, amount: str, why: str, who: str) -> None:
-    """Add an entry that corrects another. A period that is closed gets one more version.
+    """Add a correction of an entry. A closed period gets a further version.
 
     \b Example: python -m thymeyoke ledger correct --path DIR --entry 3.1207 --amount run=-0.25 --why "ran
     for nobody"
     """
-    given: dict[str, int] = {}
+    amounts: dict[str, int] = {}
     for part in amount.split(","):
         name, _, value = part.strip().partition("=")
         try:
-            if name not in UNITS:
+            if name not in AMOUNT_NAMES:
                 raise ValueError(name)
-            given[name] = round(float(value) * MICRO) if name in ("run", "importance") else int(value)
+            amounts[name] = round(float(value) * MICRO_UNITS) if name in ("run", "importance") else int(value)
         except (ValueError, OverflowError):
             raise click.UsageError(
-                f"--amount {part.strip()!r} can't be used; give {', '.join(UNITS)} as run=-0.25"
+                f"--amount {part.strip()!r} is invalid; give {', '.join(AMOUNT_NAMES)} as run=-0.25"
             ) from None
-    with _book(path) as book:
-        made = book.correct(entry, Amounts(**given), who, why)
-    click.echo(f"entry {made.id} corrects {entry} in period {made.period}")
+    with _open_journal(path) as journal:
+        correction = journal.correct(entry, Amounts(**amounts), who, why)
+    click.echo(f"entry {correction.id} corrects {entry} in period {correction.period}")
 
 
 @group.command()
-@folder
+@path_option
 def verify(path: Path) -> None:
-    """Check every sum and the whole chain, of a book, a receiver's store, or both; names the first place
-    that is wrong.
+    """Check all sums and hashes of a usage journal, an export store, or both; prints the first problem.
 
     \b Example: python -m thymeyoke ledger verify --path /var/lib/thymeyoke/ledger
     """
-    wrong: list[str] = []
-    there = [(path / books.FILE).exists(), (path / vaults.FILE).exists()]
-    if not any(there):
-        raise click.ClickException(f"{path} holds neither a book nor anything received")
-    if there[0]:
-        with _book(path) as book:
-            wrong += book.verify()
-    if there[1]:
-        with _vault(path) as vault:
-            wrong += vault.verify()
-    if wrong:
-        raise click.ClickException(wrong[0] + (f" (and {len(wrong) - 1} more)" if len(wrong) > 1 else ""))
+    problems: list[str] = []
+    exists = [(path / usage_journal.FILE_NAME).exists(), (path / export_store.FILE_NAME).exists()]
+    if not any(exists):
+        raise click.ClickException(f"{path} contains neither a usage journal nor an export store")
+    if exists[0]:
+        with _open_journal(path) as journal:
+            problems += journal.verify()
+    if exists[1]:
+        with _open_store(path) as store:
+            problems += store.verify()
+    if problems:
+        raise click.ClickException(
+            problems[0] + (f" (and {len(problems) - 1} more)" if len(problems) > 1 else "")
+        )
     click.echo("all fits")
 
 
 @group.command()
-@folder
+@path_option
 @click.option("--listen", required=True, help="An IP address and a port, as 127.0.0.1:4700.")
 @click.option("--log-level", default="info", type=click.Choice(["debug", "info", "warning", "error"]))
 @click.option("--log-form", default="text", type=click.Choice(["text", "json"]))
 def receive(path: Path, listen: str, log_level: str, log_form: str) -> None:
-    """Take exports of many instances until SIGTERM.
+    """Receive exports of many app servers until SIGTERM.
 
     \b
     Example: python -m thymeyoke ledger receive --listen 127.0.0.1:4700 --path /var/lib/thymeyoke/received
@@ -179,45 +201,44 @@
     from thymeyoke.runtime import logs
 
     try:
-        where = HostPort.parse(listen)
+        address = HostPort.parse(listen)
     except ValueError:
-        raise click.UsageError(f"--listen {listen!r} can't be used; give an IP address and a port") from None
+        raise click.UsageError(f"--listen {listen!r} is invalid; give an IP address and a port") from None
     logs.configure_logging(log_level, log_form)
     try:
-        anyio.run(receiver.receive, str(where.ip), where.port, path)
-    except (BadBook, OSError) as error:
+        anyio.run(receiver.receive, str(address.ip), address.port, path)
+    except (StoreError, OSError) as error:
         raise click.ClickException(str(error)) from None
 
 
 @group.command()
-@folder
+@path_option
 @click.option("--tenant")
 @click.option("--period", type=int)
 @json_option
 def statement(path: Path, tenant: str | None, period: int | None, as_json: bool) -> None:
-    """Sums by period, tenant, op type and kind, from what a receiver holds; on standard error what does not
-    fit.
+    """Print sums by period, tenant, request class and kind; problems go to standard error.
 
     \b Example: python -m thymeyoke ledger statement --path /var/lib/thymeyoke/received --tenant north
     """
-    with _vault(path) as vault:
-        streams = vault.streams()
-    _print(statements.statement(streams, tenant, period), as_json)
-    for line in statements.reconcile(streams):
+    with _open_store(path) as store:
+        received_journals = store.received_journals()
+    _print(statements.statement(received_journals, tenant, period), as_json)
+    for line in statements.reconcile(received_journals):
         click.echo(line, err=True)
 
 
 @group.command()
-@folder
+@path_option
 @click.argument("tenant")
 @click.argument("period", type=int)
 @json_option
 def explain(path: Path, tenant: str, period: int, as_json: bool) -> None:
-    """From a tenant's sum in a period down to each instance's batches and corrections.
+    """Print the batches and corrections that make up a tenant's sum in a period.
 
     \b
     Example: python -m thymeyoke ledger explain --path /var/lib/thymeyoke/received north 29276145
     """
-    with _vault(path) as vault:
-        rows = statements.explain(vault.streams(), tenant, period)
+    with _open_store(path) as store:
+        rows = statements.explain(store.received_journals(), tenant, period)
     _print(rows, as_json)
--- a/thymeyoke/ledger/configuration.py
+++ b/thymeyoke/ledger/configuration.py
@@ -1,4 +1,4 @@
-"""`[ledger]` and `[ledger.export]` of the operators' file, as typed values."""
+"""The sections `[ledger]` and `[ledger.export]` of the service configuration, as typed values."""
 
 from __future__ import annotations
 
@@ -12,8 +12,10 @@
 
 
 class Ledger(Struct, frozen=True):
-    """Where use is kept, and what holds when the disk does not. `receiver`: where closed periods go, if
-    anywhere."""
+    """The section `[ledger]`: where usage is stored, and what to do while the disk is slow or full.
+
+    `receiver` comes from `[ledger.export]`; without it nothing is exported.
+    """
 
     path: Annotated[str, Meta(min_length=1, description="a folder that lasts")]
     receiver: HostPort | None = None
@@ -24,7 +26,7 @@
     limit_mb: Annotated[int, Meta(ge=1, le=1000000, description="megabytes, 1 to 1000000")] = 256
 
     def lines(self) -> list[str]:
-        """For `check`: what is asked for."""
+        """Describe the section for `check`."""
         where = f", exported to {self.receiver}" if self.receiver else ""
         return [
             f"keeps use by tenant in {self.path}, periods of {self.period} s, answers {self.answers}{where}"
@@ -32,10 +34,13 @@
 
 
 class Export(Struct, frozen=True):
+    """The section `[ledger.export]`."""
+
     receiver: Annotated[HostPort, Meta(description=HOST_PORT_DESCRIPTION)]
 
 
 def read_settings(file: ConfigFile) -> Ledger:
+    """Read and validate both sections."""
     for section in file.sections:
         if section.startswith("ledger.") and section != "ledger.export":
             raise file.error(section, None, "no such section; give [ledger.export]")
--- a/thymeyoke/ledger/export.py
+++ b/thymeyoke/ledger/export.py
@@ -1,8 +1,7 @@
-"""When a batch is sent, again, or no more: the sender's side of the export as a state machine, and the
-receiver's verdict on what comes. Pure.
+"""Decisions of the export: the sender's state machine, and how a receiver judges a batch. Pure, no I/O.
 
-At least once on the wire, once in effect: a batch is known by its book and number, and by the hash of all
-before it.
+Batches are delivered at least once and counted exactly once: a batch is identified by its journal and number,
+and by a hash over all batches before it.
 """
 
 from __future__ import annotations
@@ -11,191 +10,245 @@
 from random import Random
 from typing import NamedTuple
 
-from thymeyoke.ledger.wire import Batch, Hello, Refused, Taken, Welcome
+from thymeyoke.ledger.wire import Acknowledgement, Batch, Hello, Rejection, Welcome
 
-WINDOW = 8  # batches on their way at once
-FIRST, TOP = 0.2, 30.0  # seconds between tries, growing by two, with full jitter above the half
-ANSWER = 5.0  # seconds for an answer while something is out
-BUDGET = 0.2  # of a try comes back with each batch taken: sending again is a share of what gets through
-BUDGET_TOP = 10.0
+MAX_UNACKNOWLEDGED_BATCHES = 8
+RETRY_DELAY, MAX_RETRY_DELAY = (
+    0.2,
+    30.0,
+)  # seconds; doubled with each attempt, with jitter over its upper half
+RESPONSE_TIMEOUT = 5.0  # seconds
+RETRY_BUDGET_PER_BATCH = 0.2  # keeps retries a fixed share of the acknowledged batches
+MAX_RETRY_BUDGET = 10.0
 
 
-class At(Enum):
-    AWAY = "away"
-    DIALING = "dialing"
-    GREETING = "greeting"
+class ExportState(Enum):
+    """State of the export. The values are written to the log."""
+
+    DISCONNECTED = "away"
+    CONNECTING = "dialing"
+    AWAITING_WELCOME = "greeting"
     SENDING = "sending"
-    HALTED = "halted"  # something a person must look at
+    HALTED = "halted"  # until an operator has looked at it
+
 
+# Actions.
 
-# What to do.
 
+class Connect(NamedTuple):
+    """Open a connection to the receiver."""
 
-class Dial(NamedTuple):
     pass
 
 
-class Drop(NamedTuple):
+class CloseConnection(NamedTuple):
+    """Close the connection."""
+
     pass
 
 
-class Greet(NamedTuple):
+class SendHello(NamedTuple):
+    """Send the hello message that begins a connection."""
+
     pass
 
 
-class Send(NamedTuple):
+class SendBatch(NamedTuple):
+    """Send the batch with this number."""
+
     number: int
 
 
-class Mark(NamedTuple):
-    """All up to here are held by the receiver."""
+class RecordAcknowledged(NamedTuple):
+    """Store that the receiver holds all batches up to `number`."""
 
     number: int
 
 
-class Pin(NamedTuple):
-    """This is the receiver, from now on."""
+class RecordReceiver(NamedTuple):
+    """Store the ID of the receiver; from now on no other one is accepted."""
 
     receiver: bytes
 
 
-Action = Dial | Drop | Greet | Send | Mark | Pin
-
-
-class Sender:
-    """One book's way to its receiver. `last` is the last batch made, `acked` the last one known to be held,
-    `kept` the first whose body is still here."""
-
-    def __init__(self, rng: Random, acked: int, last: int, kept: int, receiver: bytes) -> None:
-        self.rng, self.acked, self.last, self.kept, self.receiver = rng, acked, last, kept, receiver
-        self.at, self.why = At.AWAY, ""
-        self.sent = acked  # the last one on its way on this connection
-        self.tries, self.budget = 0, BUDGET_TOP
-        self.again_at = 0.0  # when to dial; while something is out, when to give this connection up
-        self.hashes: dict[int, bytes] = {}  # of the batches from `acked` on; emptied as they are taken
-
-    def made(self, number: int, hash_: bytes) -> None:
-        self.last = max(self.last, number)
-        self.hashes[number] = hash_
-
-    def step(self, now: float) -> list[Action]:
-        """What the clock and new batches ask for."""
-        # Also with nothing to send: a receiver restored from an older copy must be asked what it lacks.
-        if self.at == At.AWAY and now >= self.again_at and self.last:
-            self.at, self.again_at = At.DIALING, now + ANSWER
-            return [Dial()]
-        if self.at in (At.DIALING, At.GREETING) and now >= self.again_at:
-            return self.lost(now, "no answer")
-        if self.at == At.SENDING:
-            if self.sent > self.acked and now >= self.again_at:
-                return self.lost(now, "no answer")
-            return self._send(now)
+Action = Connect | CloseConnection | SendHello | SendBatch | RecordAcknowledged | RecordReceiver
+
+
+class ExportSender:
+    """State machine that exports the batches of one journal to its receiver.
+
+    `last_batch` is the number of the last batch created, `acknowledged` that of the last one that the
+    receiver is known to hold, `first_kept` that of the oldest one whose body is still in the journal.
+    """
+
+    def __init__(
+        self, rng: Random, acknowledged: int, last_batch: int, first_kept: int, receiver: bytes
+    ) -> None:
+        self.rng, self.acknowledged, self.last_batch, self.first_kept, self.receiver = (
+            rng,
+            acknowledged,
+            last_batch,
+            first_kept,
+            receiver,
+        )
+        self.state, self.reason = ExportState.DISCONNECTED, ""
+        self.last_sent = acknowledged  # number of the last batch sent on this connection
+        self.attempts, self.retry_budget = 0, MAX_RETRY_BUDGET
+        self.next_step_at = 0.0  # next attempt to connect, or end of the response timeout
+        self.hashes: dict[int, bytes] = {}  # of the batches that the receiver may still ask for
+
+    def add_batch(self, number: int, batch_hash: bytes) -> None:
+        """Add a batch that was created."""
+        self.last_batch = max(self.last_batch, number)
+        self.hashes[number] = batch_hash
+
+    def advance(self, now: float) -> list[Action]:
+        """Return the actions that are due because time has passed or batches were added."""
+        # Connects even with nothing to send: a receiver restored from a backup may lack batches.
+        if self.state == ExportState.DISCONNECTED and now >= self.next_step_at and self.last_batch:
+            self.state, self.next_step_at = ExportState.CONNECTING, now + RESPONSE_TIMEOUT
+            return [Connect()]
+        if self.state in (ExportState.CONNECTING, ExportState.AWAITING_WELCOME) and now >= self.next_step_at:
+            return self.connection_lost(now, "no answer")
+        if self.state == ExportState.SENDING:
+            if self.last_sent > self.acknowledged and now >= self.next_step_at:
+                return self.connection_lost(now, "no answer")
+            return self._send_batches(now)
         return []
 
-    def _send(self, now: float) -> list[Action]:
-        out: list[Action] = []
-        while self.sent < min(self.last, self.acked + WINDOW):
-            self.sent += 1
-            out.append(Send(self.sent))
-        if out:
-            self.again_at = now + ANSWER
-        return out
-
-    def next(self) -> float:
-        """When `step` may have something to say though nothing came."""
-        if self.at == At.HALTED or (self.at == At.AWAY and not self.last):
+    def _send_batches(self, now: float) -> list[Action]:
+        """Send batches as far as the window of unacknowledged ones allows."""
+        actions: list[Action] = []
+        while self.last_sent < min(self.last_batch, self.acknowledged + MAX_UNACKNOWLEDGED_BATCHES):
+            self.last_sent += 1
+            actions.append(SendBatch(self.last_sent))
+        if actions:
+            self.next_step_at = now + RESPONSE_TIMEOUT
+        return actions
+
+    def next_advance_at(self) -> float:
+        """Return when `advance` must be called next, if nothing else happens."""
+        if self.state == ExportState.HALTED or (
+            self.state == ExportState.DISCONNECTED and not self.last_batch
+        ):
             return float("inf")
-        if self.at == At.SENDING and self.sent <= self.acked:
+        if self.state == ExportState.SENDING and self.last_sent <= self.acknowledged:
             return float("inf")
-        return self.again_at
-
-    def connected(self, now: float) -> list[Action]:
-        self.at, self.again_at = At.GREETING, now + ANSWER
-        return [Greet()]
-
-    def lost(self, now: float, why: str) -> list[Action]:
-        """The connection is gone, or was never there. The wait doubles; past the budget it is the longest."""
-        if self.at == At.HALTED:
-            return [Drop()]
-        self.at, self.why, self.sent = At.AWAY, why, self.acked
-        self.budget = max(0.0, self.budget - 1)
-        span = TOP if self.budget < 1 else min(TOP, FIRST * 2**self.tries)
-        self.tries = min(self.tries + 1, 16)
-        self.again_at = now + span * self.rng.uniform(0.5, 1.0)
-        return [Drop()]
-
-    def _halt(self, why: str) -> list[Action]:
-        self.at, self.why = At.HALTED, why
-        return [Drop()]
-
-    def welcomed(self, now: float, said: Welcome) -> list[Action]:
-        if self.at != At.GREETING:
-            return self.lost(now, "a welcome out of turn")
-        if self.receiver and said.receiver != self.receiver:
+        return self.next_step_at
+
+    def connection_opened(self, now: float) -> list[Action]:
+        """Handle a connection that was established."""
+        self.state, self.next_step_at = ExportState.AWAITING_WELCOME, now + RESPONSE_TIMEOUT
+        return [SendHello()]
+
+    def connection_lost(self, now: float, reason: str) -> list[Action]:
+        """Handle a connection that failed or was closed, and schedule the next attempt.
+
+        The delay doubles with each attempt; without retry budget it is the longest one.
+        """
+        if self.state == ExportState.HALTED:
+            return [CloseConnection()]
+        self.state, self.reason, self.last_sent = ExportState.DISCONNECTED, reason, self.acknowledged
+        self.retry_budget = max(0.0, self.retry_budget - 1)
+        longest_delay = (
+            MAX_RETRY_DELAY if self.retry_budget < 1 else min(MAX_RETRY_DELAY, RETRY_DELAY * 2**self.attempts)
+        )
+        self.attempts = min(self.attempts + 1, 16)
+        self.next_step_at = now + longest_delay * self.rng.uniform(0.5, 1.0)
+        return [CloseConnection()]
+
+    def _halt(self, reason: str) -> list[Action]:
+        """Stop the export until an operator has looked at it."""
+        self.state, self.reason = ExportState.HALTED, reason
+        return [CloseConnection()]
+
+    def receive_welcome(self, now: float, message: Welcome) -> list[Action]:
+        """Handle the receiver's welcome: check that its batches match the journal, and go on."""
+        if self.state != ExportState.AWAITING_WELCOME:
+            return self.connection_lost(now, "unexpected welcome: the receiver was already greeted")
+        if self.receiver and message.receiver != self.receiver:
             return self._halt(
-                f"another receiver ({said.receiver.hex()[:8]}, known {self.receiver.hex()[:8]})"
+                f"a different receiver answered ({message.receiver.hex()[:8]}, not {self.receiver.hex()[:8]})"
             )
-        out: list[Action] = [] if self.receiver else [Pin(said.receiver)]
-        self.receiver = said.receiver
-        if said.high > self.last:
-            return [*out, *self._halt(f"it says it holds batch {said.high}, the last made is {self.last}")]
-        known = self.hashes.get(said.high)
-        if said.high and known is not None and known != said.hash:
-            return [*out, *self._halt(f"its batch {said.high} is not ours")]
-        if said.high + 1 < self.kept:  # an older copy of it, and what it lacks is no longer here
+        actions: list[Action] = [] if self.receiver else [RecordReceiver(message.receiver)]
+        self.receiver = message.receiver
+        if message.high > self.last_batch:
             return [
-                *out,
-                *self._halt(f"it lacks batches from {said.high + 1}, kept are those from {self.kept}"),
+                *actions,
+                *self._halt(
+                    f"receiver holds batch {message.high}, the last one created is {self.last_batch}"
+                ),
             ]
-        self.at, self.tries, self.sent = At.SENDING, 0, said.high
-        if said.high > self.acked:
-            out.append(Mark(said.high))
-        self.acked = said.high  # also back, where it was restored from an older copy
-        return out + self._send(now)
-
-    def taken(self, now: float, said: Taken) -> list[Action]:
-        if self.at != At.SENDING:
-            return self.lost(now, "an answer out of turn")
-        if said.high > self.sent:
-            return self._halt(f"it acknowledges batch {said.high}, which was not sent")
-        known = self.hashes.get(said.high)
-        if known is not None and known != said.hash:
-            return self._halt(f"its batch {said.high} is not ours")
-        if said.high <= self.acked:
+        expected_hash = self.hashes.get(message.high)
+        if message.high and expected_hash is not None and expected_hash != message.hash:
+            return [*actions, *self._halt(f"receiver holds another batch {message.high} than this journal")]
+        if message.high + 1 < self.first_kept:  # restored from a backup; the missing batches were removed
+            return [
+                *actions,
+                *self._halt(
+                    f"receiver lacks batches from {message.high + 1} on, the oldest kept is {self.first_kept}"
+                ),
+            ]
+        self.state, self.attempts, self.last_sent = ExportState.SENDING, 0, message.high
+        if message.high > self.acknowledged:
+            actions.append(RecordAcknowledged(message.high))
+        self.acknowledged = message.high  # may go back if the receiver was restored from a backup
+        return actions + self._send_batches(now)
+
+    def receive_acknowledgement(self, now: float, message: Acknowledgement) -> list[Action]:
+        """Handle an acknowledgement of all batches up to a number."""
+        if self.state != ExportState.SENDING:
+            return self.connection_lost(now, "unexpected acknowledgement: no batch was sent")
+        if message.high > self.last_sent:
+            return self._halt(f"receiver acknowledged batch {message.high}, which was not sent")
+        expected_hash = self.hashes.get(message.high)
+        if expected_hash is not None and expected_hash != message.hash:
+            return self._halt(f"receiver holds another batch {message.high} than this journal")
+        if message.high <= self.acknowledged:
             return []
-        self.budget = min(BUDGET_TOP, self.budget + BUDGET * (said.high - self.acked))
-        self.acked, self.again_at = said.high, now + ANSWER
-        return [Mark(said.high), *self._send(now)]
+        self.retry_budget = min(
+            MAX_RETRY_BUDGET, self.retry_budget + RETRY_BUDGET_PER_BATCH * (message.high - self.acknowledged)
+        )
+        self.acknowledged, self.next_step_at = message.high, now + RESPONSE_TIMEOUT
+        return [RecordAcknowledged(message.high), *self._send_batches(now)]
 
-    def refused(self, said: Refused) -> list[Action]:
-        return self._halt(f"the receiver refuses: {said.why}")
+    def receive_rejection(self, message: Rejection) -> list[Action]:
+        """Handle a rejection: the export halts."""
+        return self._halt(f"receiver rejected the export: {message.why}")
 
 
-class Held(NamedTuple):
-    """What a receiver has of a book, from the first batch without a gap."""
+class StoredPrefix(NamedTuple):
+    """The batches of one journal that a receiver holds without a gap: number and hash of the last one."""
 
     high: int
     hash: bytes
 
 
-def judge(held: Held, has: dict[int, bytes], batch: Batch) -> Taken | Refused | None:
-    """A batch that came. Taken: it is there already, the answer stands. None: keep it, and count on.
-    Refused: it does not fit what is there. `has` are the hashes of batches with this number and the one
-    before and after, as far as they are there: what came earlier or later must fit, and so no order of
-    arrival decides."""
+def check_batch(
+    stored: StoredPrefix, hashes: dict[int, bytes], batch: Batch
+) -> Acknowledgement | Rejection | None:
+    """Decide what to do with a batch that arrived.
+
+    Returns an acknowledgement if the batch is already stored, a rejection if it contradicts a stored one, and
+    None if it is to be stored. `hashes` contains the hashes of the stored batches with the same number and
+    the number before. A batch must match its neighbours whether they arrived earlier or later, so that the
+    order of arrival makes no difference.
+    """
     if batch.number < 1 or (batch.number == 1) != (batch.before == b""):
-        return Refused(f"batch {batch.number} can't stand behind what it names")
-    there = has.get(batch.number)
-    if there is not None:
+        return Rejection(f"batch {batch.number} can't stand behind what it names")
+    stored_hash = hashes.get(batch.number)
+    if stored_hash is not None:
         return (
-            Taken(*held) if there == batch.hash else Refused(f"another batch {batch.number} is here already")
+            Acknowledgement(*stored)
+            if stored_hash == batch.hash
+            else Rejection(f"another batch {batch.number} is here already")
         )
-    before = has.get(batch.number - 1)
-    if before is not None and before != batch.before:
-        return Refused(f"batch {batch.number} does not follow the one before it")
+    previous_hash = hashes.get(batch.number - 1)
+    if previous_hash is not None and previous_hash != batch.before:
+        return Rejection(f"batch {batch.number} does not follow the one before it")
     return None
 
 
-def stranger(hello: Hello) -> Refused | None:
-    """Why a sender is not listened to."""
-    return Refused("a book without its mark") if len(hello.book) != 16 else None
+def check_hello(hello: Hello) -> Rejection | None:
+    """Return why the sender of this hello is rejected, or None."""
+    return Rejection("a book without its mark") if len(hello.book) != 16 else None
--- a/thymeyoke/ledger/export_store.py
+++ b/thymeyoke/ledger/export_store.py
@@ -1,5 +1,7 @@
-"""What a receiver holds: batches of many books, each once, in SQLite (WAL). Not async; one transaction a
-batch."""
+"""The receiver's store: batches of many journals, each stored once, in SQLite (WAL mode).
+
+The calls block; each batch is one transaction.
+"""
 
 from __future__ import annotations
 
@@ -9,14 +11,14 @@
 from secrets import token_bytes
 
 from thymeyoke.ledger import wire
-from thymeyoke.ledger.export import Held, judge
-from thymeyoke.ledger.statement import Stream, prefix
-from thymeyoke.ledger.usage_journal import BadBook, Transaction, connect, no_step
-from thymeyoke.ledger.wire import Batch, Refused, Taken
+from thymeyoke.ledger.export import StoredPrefix, check_batch
+from thymeyoke.ledger.statement import ReceivedJournal, contiguous_batches
+from thymeyoke.ledger.usage_journal import StoreError, Transaction, no_failpoint, open_database
+from thymeyoke.ledger.wire import Acknowledgement, Batch, Rejection
 
-FORMAT = 1
-FILE = "received.db"
-TABLES = """
+FORMAT_VERSION = 1
+FILE_NAME = "received.db"
+SCHEMA = """
 CREATE TABLE meta (name TEXT PRIMARY KEY, value) WITHOUT ROWID;
 CREATE TABLE books (book BLOB PRIMARY KEY, name TEXT) WITHOUT ROWID;
 CREATE TABLE batches (book BLOB, number INTEGER, before BLOB, body BLOB, hash BLOB,
@@ -24,99 +26,119 @@
 """
 
 
-class Vault:
-    def __init__(self, folder: Path, step: Callable[[str], None] = no_step) -> None:
+class ExportStore:
+    """Database of the batches received. Tests use `failpoint` to end the process between two writes."""
+
+    def __init__(self, folder: Path, failpoint: Callable[[str], None] = no_failpoint) -> None:
         folder.mkdir(parents=True, exist_ok=True)
-        self.path, self.step = folder / FILE, step
-        self.store = connect(self.path)
+        self.path, self.failpoint = folder / FILE_NAME, failpoint
+        self.database = open_database(self.path)
         try:
-            with Transaction(self.store):
-                if not self.store.execute("SELECT 1 FROM sqlite_master WHERE name = 'meta'").fetchone():
-                    for statement in TABLES.strip().split(";\n"):
-                        self.store.execute(statement)
-                    first = {"format": FORMAT, "receiver": token_bytes(16)}
-                    self.store.executemany("INSERT INTO meta VALUES (?, ?)", first.items())
+            with Transaction(self.database):
+                if not self.database.execute("SELECT 1 FROM sqlite_master WHERE name = 'meta'").fetchone():
+                    for statement in SCHEMA.strip().split(";\n"):
+                        self.database.execute(statement)
+                    initial_values = {"format": FORMAT_VERSION, "receiver": token_bytes(16)}
+                    self.database.executemany("INSERT INTO meta VALUES (?, ?)", initial_values.items())
             query = "SELECT value FROM meta WHERE name = ?"
-            (format_,) = self.store.execute(query, ("format",)).fetchone()
-            if format_ != FORMAT:
-                raise BadBook(f"{self.path}: is of format {format_}, this program reads {FORMAT}")
-            (self.mark,) = self.store.execute(query, ("receiver",)).fetchone()
+            (version,) = self.database.execute(query, ("format",)).fetchone()
+            if version != FORMAT_VERSION:
+                raise StoreError(
+                    f"{self.path}: format {version} is not supported, only format {FORMAT_VERSION}"
+                )
+            (self.receiver_id,) = self.database.execute(query, ("receiver",)).fetchone()
         except sqlite3.DatabaseError as error:
-            self.store.close()
-            raise BadBook(f"{self.path}: {error}") from None
-        self._held: dict[bytes, Held] = {}  # one a book that came since the start
+            self.database.close()
+            raise StoreError(f"{self.path}: {error}") from None
+        self._stored_prefixes: dict[bytes, StoredPrefix] = {}  # of each journal seen since the start
 
-    def close_file(self) -> None:
-        self.store.close()
+    def close_database(self) -> None:
+        """Close the database file."""
+        self.database.close()
 
-    def greet(self, book: bytes, name: str) -> Held:
-        """The book is known from here on, under the last name that it gave."""
-        with Transaction(self.store):
-            self.store.execute("INSERT OR REPLACE INTO books VALUES (?, ?)", (book, name))
-        return self.held(book)
+    def register_journal(self, journal_id: bytes, name: str) -> StoredPrefix:
+        """Record a journal under the latest name that it was sent with, and return what is stored of it."""
+        with Transaction(self.database):
+            self.database.execute("INSERT OR REPLACE INTO books VALUES (?, ?)", (journal_id, name))
+        return self.stored_prefix(journal_id)
 
-    def held(self, book: bytes) -> Held:
-        if book not in self._held:
-            self._held[book] = self._on(book, Held(0, b""))
-        return self._held[book]
+    def stored_prefix(self, journal_id: bytes) -> StoredPrefix:
+        """Return up to which batch a journal is stored without a gap."""
+        if journal_id not in self._stored_prefixes:
+            self._stored_prefixes[journal_id] = self._extend_prefix(journal_id, StoredPrefix(0, b""))
+        return self._stored_prefixes[journal_id]
 
-    def _on(self, book: bytes, held: Held) -> Held:
-        """As far as the chain fits, from what is known to hold."""
+    def _extend_prefix(self, journal_id: bytes, stored_prefix: StoredPrefix) -> StoredPrefix:
+        """Extend a prefix by the stored batches that follow it and match its hash."""
         query = "SELECT number, before, hash FROM batches WHERE book = ? AND number > ? ORDER BY number"
-        for number, before, hash_ in self.store.execute(query, (book, held.high)):
-            if number != held.high + 1 or before != held.hash:
+        for number, before, hash_ in self.database.execute(query, (journal_id, stored_prefix.high)):
+            if number != stored_prefix.high + 1 or before != stored_prefix.hash:
                 break
-            held = Held(number, hash_)
-        return held
+            stored_prefix = StoredPrefix(number, hash_)
+        return stored_prefix
 
-    def take(self, book: bytes, batch: Batch) -> Taken | Refused:
-        """Keep a batch, once. The answer tells what is held for good, without a gap."""
+    def store_batch(self, journal_id: bytes, batch: Batch) -> Acknowledgement | Rejection:
+        """Store a batch unless it is stored already, and answer with what is stored without a gap."""
         try:
-            body = wire.read_body(batch.body)
-        except wire.BadSay as error:
-            return Refused(str(error))
+            body = wire.decode_body(batch.body)
+        except wire.ProtocolError as error:
+            return Rejection(str(error))
         if body.number != batch.number:
-            return Refused(f"batch {batch.number} says that it is {body.number}")
+            return Rejection(f"batch {batch.number} says that it is {body.number}")
         query = "SELECT number, hash FROM batches WHERE book = ? AND number IN (?, ?)"
-        has = dict(self.store.execute(query, (book, batch.number, batch.number - 1)).fetchall())
-        verdict = judge(self.held(book), has, batch)
-        if verdict is not None:
-            return verdict
-        after = self.store.execute(
-            "SELECT before FROM batches WHERE book = ? AND number = ?", (book, batch.number + 1)
+        hashes = dict(self.database.execute(query, (journal_id, batch.number, batch.number - 1)).fetchall())
+        answer = check_batch(self.stored_prefix(journal_id), hashes, batch)
+        if answer is not None:
+            return answer
+        next_batch = self.database.execute(
+            "SELECT before FROM batches WHERE book = ? AND number = ?", (journal_id, batch.number + 1)
         ).fetchone()
-        if after is not None and after[0] != batch.hash:
-            return Refused(f"batch {batch.number} is not what the one after it names")
-        self.step("receive")
-        with Transaction(self.store):
-            self.store.execute("INSERT INTO batches VALUES (?, ?, ?, ?, ?)", (book, *batch, batch.hash))
-            self.step("keep")
-        self.step("kept")
-        self._held[book] = self._on(book, self.held(book))
-        return Taken(*self._held[book])
+        if next_batch is not None and next_batch[0] != batch.hash:
+            return Rejection(f"batch {batch.number} is not what the one after it names")
+        self.failpoint("receive")
+        with Transaction(self.database):
+            self.database.execute(
+                "INSERT INTO batches VALUES (?, ?, ?, ?, ?)", (journal_id, *batch, batch.hash)
+            )
+            self.failpoint("keep")
+        self.failpoint("kept")
+        self._stored_prefixes[journal_id] = self._extend_prefix(journal_id, self.stored_prefix(journal_id))
+        return Acknowledgement(*self._stored_prefixes[journal_id])
 
-    def streams(self) -> list[Stream]:
-        """All that is held, to make statements of."""
-        found = []
-        for book, name in self.store.execute("SELECT book, name FROM books ORDER BY book").fetchall():
+    def received_journals(self) -> list[ReceivedJournal]:
+        """Return all journals with their batches, as input of statements."""
+        journals = []
+        for journal_id, name in self.database.execute(
+            "SELECT book, name FROM books ORDER BY book"
+        ).fetchall():
             query = "SELECT number, before, body FROM batches WHERE book = ?"
-            found.append(
-                Stream(book, name, {row[0]: Batch(*row) for row in self.store.execute(query, (book,))})
+            journals.append(
+                ReceivedJournal(
+                    journal_id,
+                    name,
+                    {row[0]: Batch(*row) for row in self.database.execute(query, (journal_id,))},
+                )
             )
-        return found
+        return journals
 
     def verify(self) -> list[str]:
-        """What does not fit, the first place first."""
+        """Check the database and all hashes; returns the problems found, first one first."""
         try:
-            check = [row[0] for row in self.store.execute("PRAGMA quick_check")]
-            if check != ["ok"]:
-                return [f"{self.path}: {line}" for line in check]
-            wrong = []
-            for book, number, before, body, hash_ in self.store.execute(
+            check_result = [row[0] for row in self.database.execute("PRAGMA quick_check")]
+            if check_result != ["ok"]:
+                return [f"{self.path}: {line}" for line in check_result]
+            problems = []
+            for journal_id, number, before, body, hash_ in self.database.execute(
                 "SELECT * FROM batches ORDER BY book, number"
             ):
                 if Batch(number, before, body).hash != hash_:
-                    wrong.append(f"{self.path}: batch {number} of book {book.hex()[:8]} is not as it came")
-            return wrong + [f"{self.path}: {line}" for stream in self.streams() for line in prefix(stream)[2]]
-        except (sqlite3.DatabaseError, wire.BadSay) as error:
+                    problems.append(
+                        f"{self.path}: batch {number} of journal {journal_id.hex()[:8]} changed after receipt"
+                    )
+            return problems + [
+                f"{self.path}: {line}"
+                for journal in self.received_journals()
+                for line in contiguous_batches(journal)[2]
+            ]
+        except (sqlite3.DatabaseError, wire.ProtocolError) as error:
             return [f"{self.path}: {error}"]
--- a/thymeyoke/ledger/exporter.py
+++ b/thymeyoke/ledger/exporter.py
@@ -1,5 +1,4 @@
-"""The actor that brings batches to the receiver. It decides nothing: `export.Sender` says what is to be
-done."""
+"""Actor that carries out the export; the decisions are in `export.ExportSender`."""
 
 from __future__ import annotations
 
@@ -14,126 +13,156 @@
 
 from thymeyoke.configuration.service_config import HostPort
 from thymeyoke.ledger import wire
-from thymeyoke.ledger.export import At, Dial, Drop, Greet, Mark, Pin, Send, Sender
-from thymeyoke.ledger.usage_journal import Book, Made
+from thymeyoke.ledger.export import (
+    CloseConnection,
+    Connect,
+    ExportSender,
+    ExportState,
+    RecordAcknowledged,
+    RecordReceiver,
+    SendBatch,
+    SendHello,
+)
+from thymeyoke.ledger.usage_journal import BatchReference, UsageJournal
 from thymeyoke.runtime import logs
 from thymeyoke.runtime.clock import clock
 
-CHUNK = 1 << 14
-LOST = (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError, OSError)
+READ_BYTES = 1 << 14
+CONNECTION_ERRORS = (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError, OSError)
 
-Off = Callable[[Callable[[], Any]], Awaitable[Any]]
+RunInThread = Callable[[Callable[[], Any]], Awaitable[Any]]
 
 
 class Exporter:
-    def __init__(self, where: HostPort, name: str, rng: Random, book: Book, off: Off) -> None:
-        self.where, self.name, self.book, self.off = where, name, book, off
-        last = book.last()[0]
-        kept = book.meta("kept")
-        self.sender = Sender(rng, book.meta("acked"), last, kept, bytes(book.meta("receiver")))
-        self.sender.hashes = book.hashes()
-        self.stirred = anyio.Event()
-        self.talking = anyio.Lock()  # what is heard and what is new may both lead to sending
-        self.said = ""
-
-    def made(self, made: list[Made], kept: int) -> None:
-        """New batches, and the first whose body is still in the book."""
-        self.sender.kept = kept
-        for number, hash_ in made:
-            self.sender.made(number, hash_)
-        known = min(kept, self.sender.acked) - 1  # what the receiver may still be asked about
-        self.sender.hashes = {at: hash_ for at, hash_ in self.sender.hashes.items() if at >= known}
-        if made:
-            self.stirred.set()
+    """Sends the batches of a journal to its receiver, one connection at a time."""
+
+    def __init__(
+        self, address: HostPort, name: str, rng: Random, journal: UsageJournal, run_in_thread: RunInThread
+    ) -> None:
+        self.address, self.name, self.journal, self.run_in_thread = address, name, journal, run_in_thread
+        last = journal.last_batch()[0]
+        first_kept = journal.read_meta("kept")
+        self.sender = ExportSender(
+            rng, journal.read_meta("acked"), last, first_kept, bytes(journal.read_meta("receiver"))
+        )
+        self.sender.hashes = journal.batch_hashes()
+        self.wakeup = anyio.Event()
+        self.send_lock = anyio.Lock()  # both tasks of a connection send
+        self.last_reason = ""
+
+    def batches_created(self, batches: list[BatchReference], first_kept: int) -> None:
+        """Add new batches; `first_kept` is the oldest one whose body is still in the journal."""
+        self.sender.first_kept = first_kept
+        for number, hash_ in batches:
+            self.sender.add_batch(number, hash_)
+        oldest_needed = (
+            min(first_kept, self.sender.acknowledged) - 1
+        )  # the receiver may report any batch from here on
+        self.sender.hashes = {
+            batch_number: hash_
+            for batch_number, hash_ in self.sender.hashes.items()
+            if batch_number >= oldest_needed
+        }
+        if batches:
+            self.wakeup.set()
 
     async def run(self) -> None:
-        """A connection after the other, each begun when the sender says so."""
+        """Connect whenever the state machine asks for it, until cancelled."""
         while True:
-            self.stirred = anyio.Event()
-            actions = self.sender.step(clock())
-            if Dial() in actions:
-                await self._connection()
-                self._tell_halt()
+            self.wakeup = anyio.Event()
+            actions = self.sender.advance(clock())
+            if Connect() in actions:
+                await self._run_connection()
+                self._report_state()
                 continue
-            with anyio.move_on_after(max(0.0, self.sender.next() - clock())):
-                await self.stirred.wait()
-
-    def _tell_halt(self) -> None:
-        if self.sender.why != self.said:
-            self.said = self.sender.why
-            level = logging.ERROR if self.sender.at == At.HALTED else logging.WARNING
-            logs.log_event(level, "ledger_export_state_changed", state=self.sender.at.value, reason=self.said)
-        if self.sender.at == At.HALTED:
+            with anyio.move_on_after(max(0.0, self.sender.next_advance_at() - clock())):
+                await self.wakeup.wait()
+
+    def _report_state(self) -> None:
+        """Log a changed reason, and count lost connections."""
+        if self.sender.reason != self.last_reason:
+            self.last_reason = self.sender.reason
+            level = logging.ERROR if self.sender.state == ExportState.HALTED else logging.WARNING
+            logs.log_event(
+                level, "ledger_export_state_changed", state=self.sender.state.value, reason=self.last_reason
+            )
+        if self.sender.state == ExportState.HALTED:
             logs.counters["ledger_export_halted"] = 1
         else:
             logs.counters["ledger_export_lost"] += 1
 
-    async def _connection(self) -> None:
+    async def _run_connection(self) -> None:
+        """Exchange messages over one connection until it is closed."""
         try:
-            with anyio.fail_after(max(0.01, self.sender.next() - clock())):
-                stream = await anyio.connect_tcp(self.where.ip, self.where.port)
+            with anyio.fail_after(max(0.01, self.sender.next_advance_at() - clock())):
+                stream = await anyio.connect_tcp(self.address.ip, self.address.port)
         except (OSError, TimeoutError) as error:
-            self.sender.lost(clock(), f"connect: {type(error).__name__}")
+            self.sender.connection_lost(clock(), f"connect: {type(error).__name__}")
             return
         try:
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(self._hear, stream, tasks)
-                await self._do(stream, self.sender.connected(clock()))
-                while self.sender.at in (At.GREETING, At.SENDING):
-                    self.stirred = anyio.Event()
-                    await self._do(stream, self.sender.step(clock()))
-                    with anyio.move_on_after(max(0.0, self.sender.next() - clock())):
-                        await self.stirred.wait()
+                tasks.start_soon(self._receive_messages, stream, tasks)
+                await self._perform(stream, self.sender.connection_opened(clock()))
+                while self.sender.state in (ExportState.AWAITING_WELCOME, ExportState.SENDING):
+                    self.wakeup = anyio.Event()
+                    await self._perform(stream, self.sender.advance(clock()))
+                    with anyio.move_on_after(max(0.0, self.sender.next_advance_at() - clock())):
+                        await self.wakeup.wait()
                 tasks.cancel_scope.cancel()
         finally:
             await anyio.aclose_forcefully(stream)
 
-    async def _hear(self, stream: SocketStream, tasks: Any) -> None:
-        reader = wire.Reader()
+    async def _receive_messages(self, stream: SocketStream, tasks: Any) -> None:
+        """Pass messages from the receiver to the state machine."""
+        reader = wire.FrameReader()
         try:
             while True:
-                for said in reader.feed(await stream.receive(CHUNK)):
-                    match said:
+                for message in reader.feed(await stream.receive(READ_BYTES)):
+                    match message:
                         case wire.Welcome():
-                            actions = self.sender.welcomed(clock(), said)
-                        case wire.Taken():
-                            actions = self.sender.taken(clock(), said)
-                        case wire.Refused():
-                            actions = self.sender.refused(said)
+                            actions = self.sender.receive_welcome(clock(), message)
+                        case wire.Acknowledgement():
+                            actions = self.sender.receive_acknowledgement(clock(), message)
+                        case wire.Rejection():
+                            actions = self.sender.receive_rejection(message)
                         case _:
-                            raise wire.BadSay("the receiver says what only a sender says")
-                    await self._do(stream, actions)
-                    self.stirred.set()
-        except LOST:
-            self.sender.lost(clock(), "connection lost")
-        except wire.BadSay as error:
+                            raise wire.ProtocolError("receiver sent a message that only a sender sends")
+                    await self._perform(stream, actions)
+                    self.wakeup.set()
+        except CONNECTION_ERRORS:
+            self.sender.connection_lost(clock(), "connection lost")
+        except wire.ProtocolError as error:
             logs.counters["ledger_export_garbled"] += 1
-            self.sender.lost(clock(), str(error))
+            self.sender.connection_lost(clock(), str(error))
         tasks.cancel_scope.cancel()
 
-    async def _do(self, stream: SocketStream, actions: list[Any]) -> None:
+    async def _perform(self, stream: SocketStream, actions: list[Any]) -> None:
+        """Carry out the actions of the state machine."""
         for action in actions:
             match action:
-                case Greet():
-                    await self._say(stream, wire.Hello(self.name, self.book.mark, self.sender.last))
-                case Send(number):
-                    batch = await self.off(partial(self.book.batch, number))
+                case SendHello():
+                    await self._send(
+                        stream, wire.Hello(self.name, self.journal.journal_id, self.sender.last_batch)
+                    )
+                case SendBatch(number):
+                    batch = await self.run_in_thread(partial(self.journal.batch, number))
                     if batch is not None:
-                        self.book.step("send")
-                        await self._say(stream, batch)
+                        self.journal.failpoint("send")
+                        await self._send(stream, batch)
                         logs.counters["ledger_batches_out"] += 1
-                case Mark(number):
-                    await self.off(partial(self.book.marked, number))
+                case RecordAcknowledged(number):
+                    await self.run_in_thread(partial(self.journal.record_acknowledged, number))
                     logs.counters["ledger_acknowledged"] = number
-                case Pin(receiver):
-                    await self.off(partial(self.book.pin, receiver))
-                case Drop():
+                case RecordReceiver(receiver):
+                    await self.run_in_thread(partial(self.journal.record_receiver, receiver))
+                case CloseConnection():
                     return
 
-    async def _say(self, stream: SocketStream, what: wire.Say) -> None:
+    async def _send(self, stream: SocketStream, outgoing: wire.Message) -> None:
+        """Send one message; a failure ends the connection."""
         try:
             with anyio.fail_after(5.0):
-                async with self.talking:
-                    await stream.send(wire.encode(what))
-        except (*LOST, TimeoutError):
-            self.sender.lost(clock(), "connection lost")
+                async with self.send_lock:
+                    await stream.send(wire.encode(outgoing))
+        except (*CONNECTION_ERRORS, TimeoutError):
+            self.sender.connection_lost(clock(), "connection lost")
--- a/thymeyoke/ledger/receiver.py
+++ b/thymeyoke/ledger/receiver.py
@@ -1,4 +1,4 @@
-"""The receiving side: a program of its own that takes exports of many instances and keeps each batch once."""
+"""Receiver of exports: a separate program that stores the batches of many app servers, each one once."""
 
 from __future__ import annotations
 
@@ -14,89 +14,103 @@
 from anyio.abc import SocketAttribute, SocketStream, TaskStatus
 
 from thymeyoke.ledger import wire
-from thymeyoke.ledger.export import stranger
-from thymeyoke.ledger.export_store import Vault
+from thymeyoke.ledger.export import check_hello
+from thymeyoke.ledger.export_store import ExportStore
 from thymeyoke.runtime import logs
 
 Result = TypeVar("Result")
-CHUNK = 1 << 16
-CONNECTIONS = 1024
-FIRST = 5.0  # seconds for a connection's first message; later ones may take as long as they like
+READ_BYTES = 1 << 16
+MAX_CONNECTIONS = 1024
+HELLO_TIMEOUT = 5.0  # seconds; later messages have no timeout
 
 
 class Receiver:
-    def __init__(self, vault: Vault) -> None:
-        self.vault = vault
+    """Server that accepts connections of exporters and writes their batches to an `ExportStore`."""
+
+    def __init__(self, store: ExportStore) -> None:
+        self.store = store
         self.limiter = anyio.CapacityLimiter(1)
-        self.open = 0
+        self.open_connections = 0
 
     async def run(
         self, host: str, port: int, *, task_status: TaskStatus[int] = anyio.TASK_STATUS_IGNORED
     ) -> None:
+        """Accept connections until cancelled; reports the port once it is listening."""
         listener = await anyio.create_tcp_listener(local_host=host, local_port=port)
-        where = listener.listeners[0].extra(SocketAttribute.local_port)
+        bound_port = listener.listeners[0].extra(SocketAttribute.local_port)
         logs.log_event(
-            logging.INFO, "ledger_receiver_listening", address=f"{host}:{where}", path=self.vault.path
+            logging.INFO, "ledger_receiver_listening", address=f"{host}:{bound_port}", path=self.store.path
         )
         async with listener:
-            task_status.started(where)
-            await listener.serve(self._serve)
+            task_status.started(bound_port)
+            await listener.serve(self._handle_connection)
 
-    async def _serve(self, stream: SocketStream) -> None:
-        self.open += 1
+    async def _handle_connection(self, stream: SocketStream) -> None:
+        """Serve one connection; connections over the limit are closed at once."""
+        self.open_connections += 1
         try:
-            if self.open <= CONNECTIONS:
-                await self._speak(stream)
+            if self.open_connections <= MAX_CONNECTIONS:
+                await self._exchange_messages(stream)
         except (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError, TimeoutError):
             pass
-        except wire.BadSay as error:
+        except wire.ProtocolError as error:
             logs.counters["ledger_bad_say"] += 1
             logs.log_peer_fault("ledger_connection_closed", reason=str(error))
-        except Exception as error:  # a store that can't be written: the sender comes again
+        except Exception as error:  # for example a full disk; the sender retries
             logs.counters["ledger_receive_error"] += 1
             logs.log_event(logging.ERROR, "ledger_connection_failed", error)
         finally:
-            self.open -= 1
+            self.open_connections -= 1
             await anyio.aclose_forcefully(stream)
 
-    async def _speak(self, stream: SocketStream) -> None:
-        reader = wire.Reader()
-        book = b""
-        with anyio.fail_after(FIRST) as first:
+    async def _exchange_messages(self, stream: SocketStream) -> None:
+        """Answer messages: first a hello, then batches."""
+        reader = wire.FrameReader()
+        journal_id = b""
+        with anyio.fail_after(HELLO_TIMEOUT) as hello_deadline:
             while True:
-                for said in reader.feed(await stream.receive(CHUNK)):
-                    answer: wire.Say
-                    match said:
-                        case wire.Hello(name, mark, _) if not book:
-                            if (refused := stranger(said)) is None:
-                                held = await self._off(partial(self.vault.greet, mark, name))
-                                book = mark
-                                first.deadline = float("inf")
-                            answer = refused or wire.Welcome(self.vault.mark, *held)
-                        case wire.Batch() if book:
-                            answer = await self._off(partial(self.vault.take, book, said))
-                            kind = "refused" if isinstance(answer, wire.Refused) else "taken"
+                for message in reader.feed(await stream.receive(READ_BYTES)):
+                    answer: wire.Message
+                    match message:
+                        case wire.Hello(name, sender_id, _) if not journal_id:
+                            if (rejection := check_hello(message)) is None:
+                                stored = await self._run_in_thread(
+                                    partial(self.store.register_journal, sender_id, name)
+                                )
+                                journal_id = sender_id
+                                hello_deadline.deadline = float("inf")
+                            answer = rejection or wire.Welcome(self.store.receiver_id, *stored)
+                        case wire.Batch() if journal_id:
+                            answer = await self._run_in_thread(
+                                partial(self.store.store_batch, journal_id, message)
+                            )
+                            kind = "refused" if isinstance(answer, wire.Rejection) else "taken"
                             logs.counters[f"ledger_{kind}"] += 1
                         case _:
-                            raise wire.BadSay("a message out of turn")
-                    if isinstance(answer, wire.Refused):
-                        logs.log_peer_fault("ledger_batch_rejected", reason=answer.why, book=book.hex()[:8])
+                            raise wire.ProtocolError(
+                                "unexpected message: expected a hello first, then batches"
+                            )
+                    if isinstance(answer, wire.Rejection):
+                        logs.log_peer_fault(
+                            "ledger_batch_rejected", reason=answer.why, book=journal_id.hex()[:8]
+                        )
                     await stream.send(wire.encode(answer))
 
-    async def _off(self, call: Callable[[], Result]) -> Result:
+    async def _run_in_thread(self, call: Callable[[], Result]) -> Result:
+        """Run a blocking call of the store in a thread, one at a time."""
         return await to_thread.run_sync(call, limiter=self.limiter)
 
 
 async def receive(host: str, port: int, folder: Path) -> None:
-    """Until SIGTERM or SIGINT."""
-    vault = Vault(folder)
+    """Run a receiver until SIGTERM or SIGINT."""
+    store = ExportStore(folder)
     try:
         async with anyio.create_task_group() as tasks:
-            await tasks.start(Receiver(vault).run, host, port)
+            await tasks.start(Receiver(store).run, host, port)
             with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
                 async for _ in signals:
                     break
             tasks.cancel_scope.cancel()
     finally:
-        vault.close_file()
+        store.close_database()
     logs.log_event(logging.INFO, "stopped", **dict[str, Any](logs.counters))
--- a/thymeyoke/ledger/usage_entries.py
+++ b/thymeyoke/ledger/usage_entries.py
@@ -1,7 +1,7 @@
-"""What is counted of an op, in which period, and how sums are made of it. Pure.
+"""Usage of a request, the period it is counted in, and sums of usage. Pure, no I/O.
 
-Amounts are integers: ops, calls, octets; run times in microseconds, importance in millionths. An entry is
-never changed; a correction is one more entry that names the one it corrects.
+Amounts are integers: requests, calls and bytes; run times in microseconds, priority weights in millionths. An
+entry never changes; a correction is a further entry that refers to the one it corrects.
 """
 
 from __future__ import annotations
@@ -10,26 +10,28 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-MICRO = 1_000_000
-LEDGE = (
-    1 / 10
-)  # of a period: after its end it stays open for so long, for what is still on its way to the book
-LEAST_LEDGE = 0.5  # seconds
+MICRO_UNITS = 1_000_000
+CLOSE_DELAY_SHARE = 1 / 10  # of a period's length
+MIN_CLOSE_DELAY = 0.5  # seconds
 
 
 class Kind(IntEnum):
+    """How a request ended. The names are written in lower case to statements, the numbers to the database."""
+
     ACKED = 1
     NACKED = 2
     FAILED = 3
     GONE = 4
-    REPEAT = 5  # answered with the result of the op that it repeats
+    REPEAT = 5  # answered with the result of an earlier request
     CORRECTION = 6
 
 
-FREE = frozenset((Kind.REPEAT,))  # counted, and charged nothing
+UNCHARGED_KINDS = frozenset((Kind.REPEAT,))  # counted, but with amounts of 0
 
 
 class Amounts(NamedTuple):
+    """Amounts of usage. The field names are column names and wire names."""
+
     ops: int = 0
     run: int = 0  # microseconds
     calls: int = 0
@@ -37,30 +39,41 @@
     octets: int = 0
 
     def plus(self, other: Amounts) -> Amounts:
+        """Return the sum of two amounts."""
         return Amounts(*(a + b for a, b in zip(self, other, strict=True)))
 
 
-class Use(NamedTuple):
-    """What one op used, told at its end."""
+class RequestUsage(NamedTuple):
+    """The usage of one request, reported when it ends."""
 
-    at: float  # Unix seconds, when it was answered or its caller went
+    ended_at: float  # Unix seconds: when it was answered or its client disconnected
     tenant: str
-    type: str
+    request_class: str
     kind: Kind
-    run: float  # seconds, as the processor told them
+    run_time: float  # seconds, as reported by the processor
     calls: int
-    importance: float
-    octets: int
-    op: str = ""  # its id, as the wire gave it
+    priority_weight: float
+    size_bytes: int
+    request_id: str = ""  # as on the wire
 
     def amounts(self) -> Amounts:
-        if self.kind in FREE:
+        """Return the amounts to charge."""
+        if self.kind in UNCHARGED_KINDS:
             return Amounts(ops=1)
-        return Amounts(1, round(self.run * MICRO), self.calls, round(self.importance * MICRO), self.octets)
+        return Amounts(
+            1,
+            round(self.run_time * MICRO_UNITS),
+            self.calls,
+            round(self.priority_weight * MICRO_UNITS),
+            self.size_bytes,
+        )
 
 
-class Line(NamedTuple):
-    """What sums are kept by, and a correction's reasons: `corrects` names the entry, as start.number."""
+class UsageKey(NamedTuple):
+    """What usage is summed up by.
+
+    For a correction, `corrects` is the ID of the entry, and `who` and `why` are its reasons.
+    """
 
     tenant: str
     type: str
@@ -71,87 +84,94 @@
 
 
 class Entry(NamedTuple):
-    """As the book holds it: `start` counts the instance's starts, `number` goes on through all of them."""
+    """An entry of the journal.
+
+    `start` counts the starts of the app server, `number` the entries over all starts.
+    """
 
     start: int
     number: int
     period: int
-    line: Line
+    key: UsageKey
     amounts: Amounts
-    op: str = ""
+    request_id: str = ""
 
     @property
     def id(self) -> str:
+        """The ID that operators use, as start.number."""
         return f"{self.start}.{self.number}"
 
 
-def sums(entries: Iterable[tuple[Line, Amounts]]) -> dict[Line, Amounts]:
-    """Corrections stay one by one, all else is added up by its line."""
-    found: dict[Line, Amounts] = {}
-    for line, amounts in entries:
-        found[line] = found[line].plus(amounts) if line in found else amounts
-    return found
+def sum_by_key(entries: Iterable[tuple[UsageKey, Amounts]]) -> dict[UsageKey, Amounts]:
+    """Sum up amounts by key; each correction has a key of its own."""
+    totals: dict[UsageKey, Amounts] = {}
+    for key, amounts in entries:
+        totals[key] = totals[key].plus(amounts) if key in totals else amounts
+    return totals
 
 
 class Periods:
-    """Which period an entry falls in, and which may close. Unix time cut in spans of `length` seconds.
+    """Assigns entries to periods and decides which periods may close.
 
-    `latest` never steps back, over restarts as well: with a clock set back all falls in the first open
-    period until the clock has caught up. `closed` is the last closed one: nothing but corrections falls in
-    it or before.
+    Periods are `length` seconds of Unix time. `latest_seen` never goes back, even over restarts: after the
+    clock was set back, entries go to the first open period until the clock has caught up. `closed` is the
+    last closed period; only corrections are added to it and to earlier ones.
     """
 
-    def __init__(self, length: int, latest: float = 0.0, closed: int = -1) -> None:
-        self.length, self.latest, self.closed = length, latest, closed
+    def __init__(self, length: int, latest_seen: float = 0.0, closed: int = -1) -> None:
+        self.length, self.latest_seen, self.closed = length, latest_seen, closed
 
-    def of(self, at: float) -> int:
-        """The period of what happened at a moment: late entries go to the first one that is open."""
-        self.latest = max(self.latest, at)
+    def period_of(self, at: float) -> int:
+        """Return the period of a point in time; entries of closed periods go to the first open one."""
+        self.latest_seen = max(self.latest_seen, at)
         return max(int(at // self.length), self.closed + 1)
 
-    def ledge(self) -> float:
-        return max(LEAST_LEDGE, self.length * LEDGE)
+    def close_delay(self) -> float:
+        """Return how long a period stays open after its end, for entries that are not written yet."""
+        return max(MIN_CLOSE_DELAY, self.length * CLOSE_DELAY_SHARE)
 
-    def due(self, now: float, held: Iterable[int]) -> list[int]:
-        """Of the periods that hold entries, those that may close now, oldest first. What is not yet in the
-        book keeps its period open: it is not in `held` until it is."""
-        moment = max(now, self.latest)
-        ended = int((moment - self.ledge()) // self.length) - 1
-        return sorted(period for period in set(held) if self.closed < period <= ended)
+    def closable_periods(self, now: float, periods: Iterable[int]) -> list[int]:
+        """Return which of the given periods may close now, oldest first."""
+        moment = max(now, self.latest_seen)
+        ended = int((moment - self.close_delay()) // self.length) - 1
+        return sorted(period for period in set(periods) if self.closed < period <= ended)
 
-    def close(self, period: int) -> None:
+    def mark_closed(self, period: int) -> None:
+        """Record that a period is closed."""
         self.closed = max(self.closed, period)
 
-    def next(self, now: float) -> float:
-        """When the next one may close."""
-        moment = max(now, self.latest) - self.ledge()
+    def next_close_at(self, now: float) -> float:
+        """Return when the next period may close."""
+        moment = max(now, self.latest_seen) - self.close_delay()
         return now + (int(moment // self.length) + 1) * self.length - moment
 
 
-class Recent:
-    """Run time by tenant over the last span: a window in slots, not the disk. Empties as slots pass."""
+class RecentRunTimes:
+    """Run time by tenant over a sliding window, kept in memory only."""
 
-    def __init__(self, span: float = 60.0, slots: int = 12, most: int = 256) -> None:
-        self.step, self.slots, self.most = span / slots, slots, most
-        self.runs: dict[int, dict[str, float]] = {}
+    def __init__(self, span: float = 60.0, slots: int = 12, max_tenants: int = 256) -> None:
+        self.slot_seconds, self.slots, self.max_tenants = span / slots, slots, max_tenants
+        self.run_times_by_slot: dict[int, dict[str, float]] = {}
 
     def add(self, at: float, tenant: str, run: float) -> None:
-        slot = int(at // self.step)
+        """Add the run time of a request; tenants over the limit of a slot are counted together."""
+        slot = int(at // self.slot_seconds)
         self._purge(slot)
-        here = self.runs.setdefault(slot, {})
-        key = tenant if tenant in here or len(here) < self.most else ""
-        here[key] = here.get(key, 0.0) + run
+        slot_times = self.run_times_by_slot.setdefault(slot, {})
+        key = tenant if tenant in slot_times or len(slot_times) < self.max_tenants else ""
+        slot_times[key] = slot_times.get(key, 0.0) + run
 
     def _purge(self, slot: int) -> None:
-        for old in [old for old in self.runs if old <= slot - self.slots]:
-            del self.runs[old]
+        """Remove slots that have left the window."""
+        for expired in [expired for expired in self.run_times_by_slot if expired <= slot - self.slots]:
+            del self.run_times_by_slot[expired]
 
     def shares(self, now: float) -> dict[str, float]:
-        """Each tenant's part of what was run, most first."""
-        self._purge(int(now // self.step))
+        """Return each tenant's share of the run time, largest first."""
+        self._purge(int(now // self.slot_seconds))
         total: dict[str, float] = {}
-        for here in self.runs.values():
-            for tenant, run in here.items():
+        for slot_times in self.run_times_by_slot.values():
+            for tenant, run in slot_times.items():
                 total[tenant] = total.get(tenant, 0.0) + run
         whole = sum(total.values())
         return {
--- a/thymeyoke/ledger/usage_journal.py
+++ b/thymeyoke/ledger/usage_journal.py
@@ -1,17 +1,16 @@
-"""The book of one instance: entries, closed periods and the batches made of them, in SQLite (WAL).
-Append-only.
+"""The usage journal of an app server: entries, closed periods and batches for export, in SQLite (WAL mode).
 
-A book's mark is not drawn from the instance's seed: two instances that were given one seed had one mark,
-and the receiver took them for one book.
+The journal is append-only. Its ID is random and not derived from the configured seed, because two servers
+with the same seed had the same ID and the receiver took them for one.
 
-Not async: the keeper calls it from a thread of its own. Each method that writes is one transaction: after a
-crash it has happened in whole or not at all. `step` is called by name before and after each, so that a test
-can end the process there.
+The calls block; the usage recorder makes them from a thread. Each method that writes is one transaction,
+which after a crash is present completely or not at all. `failpoint` is called with a name before, within and
+after each transaction, so that a test can end the process there.
 
-entries   an op each, or a correction; numbers go on over all starts groups    the entries of one commit,
-with a hash over them and the group before: what flips a bit is found versions  a closed period, and through
-which entry its sums go; a correction adds a version batches   sums as they are exported, each with the hash
-of all before it folded    what was removed, added up
+Tables: `entries` has one row for each request or correction, numbered over all starts. `groups` has a hash
+over the entries of each commit and the group before, to detect changed data. `versions` has the closed
+periods and the last entry that each version includes; a correction adds a version. `batches` has the exported
+sums, each with a hash over all batches before. `folded` has the sums of removed periods.
 """
 
 from __future__ import annotations
@@ -25,13 +24,13 @@
 from typing import Any, NamedTuple
 
 from thymeyoke.ledger import wire
-from thymeyoke.ledger.usage_entries import Amounts, Entry, Kind, Line, Periods, Use, sums
-from thymeyoke.ledger.wire import Batch, Body
+from thymeyoke.ledger.usage_entries import Amounts, Entry, Kind, Periods, RequestUsage, UsageKey, sum_by_key
+from thymeyoke.ledger.wire import Batch, BatchBody
 
-FORMAT = 1
-FILE = "ledger.db"
-KEEP = 16  # closed periods, and batches, that stay after they were acknowledged
-TABLES = """
+FORMAT_VERSION = 1
+FILE_NAME = "ledger.db"
+DEFAULT_KEPT_PERIODS = 16  # of closed and acknowledged periods
+SCHEMA = """
 CREATE TABLE meta (name TEXT PRIMARY KEY, value) WITHOUT ROWID;
 CREATE TABLE names (id INTEGER PRIMARY KEY, text TEXT UNIQUE);
 CREATE TABLE entries (number INTEGER PRIMARY KEY AUTOINCREMENT, start INTEGER, period INTEGER,
@@ -45,434 +44,491 @@
 CREATE TABLE folded (tenant TEXT, type TEXT, kind INTEGER, ops INTEGER, run INTEGER, calls INTEGER,
     importance INTEGER, octets INTEGER, PRIMARY KEY (tenant, type, kind)) WITHOUT ROWID;
 """
-COLUMNS = (
+ENTRY_COLUMNS = (
     "number, start, period, tenant, type, kind, ops, run, calls, importance, octets, corrects, who, why, op"
 )
 Row = tuple[Any, ...]
 
 
-class BadBook(Exception):
-    """The book can't be used as it is; the text says where, for people."""
+class StoreError(Exception):
+    """The journal or export store can't be used; the text tells operators why."""
 
 
-def no_step(name: str) -> None:
-    """Outside tests nothing happens between two steps."""
+def no_failpoint(name: str) -> None:
+    """Do nothing; replaced by tests."""
 
 
-def connect(path: Path, durable: bool = True) -> sqlite3.Connection:
-    """`durable`: a commit is on the disk when it returns; else when the system writes it."""
-    store = sqlite3.connect(path, isolation_level=None, check_same_thread=False, timeout=5.0)
+def open_database(path: Path, durable: bool = True) -> sqlite3.Connection:
+    """Open a database in WAL mode. If `durable`, a commit returns when it is on the disk."""
+    database = sqlite3.connect(path, isolation_level=None, check_same_thread=False, timeout=5.0)
     try:
-        store.execute("PRAGMA journal_mode = WAL")
-        store.execute(f"PRAGMA synchronous = {'FULL' if durable else 'NORMAL'}")
-        store.execute("PRAGMA cache_size = -512")  # KiB
+        database.execute("PRAGMA journal_mode = WAL")
+        database.execute(f"PRAGMA synchronous = {'FULL' if durable else 'NORMAL'}")
+        database.execute("PRAGMA cache_size = -512")  # KiB
     except sqlite3.DatabaseError as error:
-        store.close()
-        raise BadBook(f"{path}: {error}") from None
-    return store
+        database.close()
+        raise StoreError(f"{path}: {error}") from None
+    return database
 
 
 class Transaction:
-    """All of a block, or nothing of it."""
+    """Context manager that commits its block, or rolls it back if an exception is raised."""
 
-    def __init__(self, store: sqlite3.Connection) -> None:
-        self.store = store
+    def __init__(self, database: sqlite3.Connection) -> None:
+        self.database = database
 
     def __enter__(self) -> None:
-        self.store.execute("BEGIN IMMEDIATE")
+        self.database.execute("BEGIN IMMEDIATE")
 
     def __exit__(self, kind: type[BaseException] | None, *_: object) -> None:
-        self.store.execute("COMMIT" if kind is None else "ROLLBACK")
+        self.database.execute("COMMIT" if kind is None else "ROLLBACK")
 
 
-class Made(NamedTuple):
-    """A batch by its number and hash."""
+class BatchReference(NamedTuple):
+    """Number and hash of a batch."""
 
     number: int
     hash: bytes
 
 
-class Book:
+class UsageJournal:
+    """Database of one app server's usage."""
+
     def __init__(
         self, folder: Path, length: int, durable: bool = True,
-        step: Callable[[str], None] = no_step, begin: bool = True,
+        failpoint: Callable[[str], None] = no_failpoint, is_start: bool = True,
     ) -> None:  # fmt: skip
-        """Open the book in a folder, or make it. `begin`: this is a start of the instance, not a look at
-        its book."""
+        """Open the journal in a folder, or create it.
+
+        `length` is that of a period in seconds. `is_start` is False for commands, which do not count as a
+        start of the app server.
+        """
         folder.mkdir(parents=True, exist_ok=True)
-        self.path, self.step = folder / FILE, step
-        self.store = connect(self.path, durable)
-        self._names: dict[str, int] = {}
-        self._texts: dict[int, str] = {}
+        self.path, self.failpoint = folder / FILE_NAME, failpoint
+        self.database = open_database(self.path, durable)
+        self._id_by_name: dict[str, int] = {}
+        self._name_by_id: dict[int, str] = {}
         try:
-            self._open(length, begin)
+            self._open(length, is_start)
         except sqlite3.DatabaseError as error:
-            self.store.close()
-            raise BadBook(f"{self.path}: {error}") from None
-        except BadBook:
-            self.store.close()
+            self.database.close()
+            raise StoreError(f"{self.path}: {error}") from None
+        except StoreError:
+            self.database.close()
             raise
 
-    def _open(self, length: int, begin: bool) -> None:
-        with Transaction(self.store):
-            if not self.store.execute("SELECT 1 FROM sqlite_master WHERE name = 'meta'").fetchone():
-                for statement in TABLES.strip().split(";\n"):
-                    self.store.execute(statement)
-                first = {"format": FORMAT, "book": token_bytes(16), "length": length, "start": 0,
-                         "latest": 0.0, "closed": -1, "acked": 0, "receiver": b"", "kept": 1,
-                         "anchor": b"", "group": b"", "folded_through": 0}  # fmt: skip
-                self.store.executemany("INSERT INTO meta VALUES (?, ?)", first.items())
-            if (format_ := self.meta("format")) != FORMAT:
-                raise BadBook(f"{self.path}: is of format {format_}, this program reads {FORMAT}")
-            if self.meta("length") != length:
-                raise BadBook(
-                    f"{self.path}: has periods of {self.meta('length')} s; give [ledger] period = that"
+    def _open(self, length: int, is_start: bool) -> None:
+        """Create the tables if necessary, check the format, and load the state."""
+        with Transaction(self.database):
+            if not self.database.execute("SELECT 1 FROM sqlite_master WHERE name = 'meta'").fetchone():
+                for statement in SCHEMA.strip().split(";\n"):
+                    self.database.execute(statement)
+                initial_values = {
+                    "format": FORMAT_VERSION,
+                    "book": token_bytes(16),
+                    "length": length,
+                    "start": 0,
+                    "latest": 0.0,
+                    "closed": -1,
+                    "acked": 0,
+                    "receiver": b"",
+                    "kept": 1,
+                    "anchor": b"",
+                    "group": b"",
+                    "folded_through": 0,
+                }
+                self.database.executemany("INSERT INTO meta VALUES (?, ?)", initial_values.items())
+            if (format_ := self.read_meta("format")) != FORMAT_VERSION:
+                raise StoreError(
+                    f"{self.path}: format {format_} is not supported, only format {FORMAT_VERSION}"
                 )
-            if begin:
-                self._set(start=self.meta("start") + 1)
-        self.start, self.mark = int(self.meta("start")), bytes(self.meta("book"))
-        self.periods = Periods(length, self.meta("latest"), self.meta("closed"))
-
-    def close_file(self) -> None:
-        self.store.close()
-
-    def meta(self, name: str) -> Any:
-        return self.store.execute("SELECT value FROM meta WHERE name = ?", (name,)).fetchone()[0]
-
-    def _set(self, **values: Any) -> None:
-        self.store.executemany(
+            if self.read_meta("length") != length:
+                raise StoreError(
+                    f"{self.path}: its periods are {self.read_meta('length')} s; set [ledger] period to that"
+                )
+            if is_start:
+                self._write_meta(start=self.read_meta("start") + 1)
+        self.start, self.journal_id = int(self.read_meta("start")), bytes(self.read_meta("book"))
+        self.periods = Periods(length, self.read_meta("latest"), self.read_meta("closed"))
+
+    def close_database(self) -> None:
+        """Close the database file."""
+        self.database.close()
+
+    def read_meta(self, name: str) -> Any:
+        """Return a value of the table `meta`."""
+        return self.database.execute("SELECT value FROM meta WHERE name = ?", (name,)).fetchone()[0]
+
+    def _write_meta(self, **values: Any) -> None:
+        """Update values of the table `meta`."""
+        self.database.executemany(
             "UPDATE meta SET value = ? WHERE name = ?", [(v, n) for n, v in values.items()]
         )
 
-    def _name(self, text: str) -> int:
-        if text not in self._names:
-            self.store.execute("INSERT OR IGNORE INTO names (text) VALUES (?)", (text,))
-            (found,) = self.store.execute("SELECT id FROM names WHERE text = ?", (text,)).fetchone()
-            if len(self._names) >= 4096:  # a hold on memory: they are found again
-                self._names.clear()
-            self._names[text] = found
-        return self._names[text]
-
-    def _text(self, id_: int) -> str:
-        if id_ not in self._texts:
-            if len(self._texts) >= 4096:
-                self._texts.clear()
-            self._texts[id_] = self.store.execute("SELECT text FROM names WHERE id = ?", (id_,)).fetchone()[0]
-        return self._texts[id_]
+    def _name_id(self, text: str) -> int:
+        """Return the ID of a tenant's or request class's name, and add the name if it is new."""
+        if text not in self._id_by_name:
+            self.database.execute("INSERT OR IGNORE INTO names (text) VALUES (?)", (text,))
+            (found,) = self.database.execute("SELECT id FROM names WHERE text = ?", (text,)).fetchone()
+            if len(self._id_by_name) >= 4096:  # bounds memory; names are looked up again
+                self._id_by_name.clear()
+            self._id_by_name[text] = found
+        return self._id_by_name[text]
+
+    def _name_text(self, id_: int) -> str:
+        """Return the name with this ID."""
+        if id_ not in self._name_by_id:
+            if len(self._name_by_id) >= 4096:
+                self._name_by_id.clear()
+            self._name_by_id[id_] = self.database.execute(
+                "SELECT text FROM names WHERE id = ?", (id_,)
+            ).fetchone()[0]
+        return self._name_by_id[id_]
 
     @contextmanager
-    def _writing(self) -> Iterator[None]:
-        """A transaction; one that is rolled back takes its new names with it."""
+    def _entry_transaction(self) -> Iterator[None]:
+        """Return a transaction that also drops cached names when it is rolled back."""
         try:
-            with Transaction(self.store):
+            with Transaction(self.database):
                 yield
         except BaseException:
-            self._names.clear()
-            self._texts.clear()
+            self._id_by_name.clear()
+            self._name_by_id.clear()
             raise
 
     # Entries.
 
-    def append(self, uses: Iterable[Use]) -> int:
-        """Commit what ops used, as one group; how many entries that made."""
-        self.step("entry")
-        latest, rows = self.periods.latest, []
-        with self._writing():
-            for use in uses:
-                tenant, type_ = self._name(use.tenant), self._name(use.type)
-                where = self.periods.of(use.at)
+    def append(self, usages: Iterable[RequestUsage]) -> int:
+        """Commit the usage of requests as one group, and return the number of entries."""
+        self.failpoint("entry")
+        latest, rows = self.periods.latest_seen, []
+        with self._entry_transaction():
+            for usage in usages:
+                tenant, type_ = self._name_id(usage.tenant), self._name_id(usage.request_class)
+                period = self.periods.period_of(usage.ended_at)
                 rows.append(
                     (
                         None,
                         self.start,
-                        where,
+                        period,
                         tenant,
                         type_,
-                        int(use.kind),
-                        *use.amounts(),
+                        int(usage.kind),
+                        *usage.amounts(),
                         "",
                         "",
                         "",
-                        use.op,
+                        usage.request_id,
                     )
                 )
             self._insert(rows)
-            if self.periods.latest > latest:
-                self._set(latest=self.periods.latest)
-            self.step("commit")
-        self.step("committed")
+            if self.periods.latest_seen > latest:
+                self._write_meta(latest=self.periods.latest_seen)
+            self.failpoint("commit")
+        self.failpoint("committed")
         return len(rows)
 
     def _insert(self, rows: list[Row]) -> int:
+        """Insert entries and the hash of their group; returns the number of the last entry."""
         if not rows:
             return 0
-        marks = ", ".join("?" * 15)
-        self.store.executemany(f"INSERT INTO entries ({COLUMNS}) VALUES ({marks})", rows)
-        (last,) = self.store.execute("SELECT MAX(number) FROM entries").fetchone()
+        placeholders = ", ".join("?" * 15)
+        self.database.executemany(f"INSERT INTO entries ({ENTRY_COLUMNS}) VALUES ({placeholders})", rows)
+        (last,) = self.database.execute("SELECT MAX(number) FROM entries").fetchone()
         first = int(last) - len(rows) + 1
-        hash_ = _hash(self.meta("group"), [(first + at, *row[1:]) for at, row in enumerate(rows)])
-        self.store.execute("INSERT INTO groups VALUES (?, ?, ?)", (last, first, hash_))
-        self._set(group=hash_)
+        hash_ = _group_hash(self.read_meta("group"), [(first + at, *row[1:]) for at, row in enumerate(rows)])
+        self.database.execute("INSERT INTO groups VALUES (?, ?, ?)", (last, first, hash_))
+        self._write_meta(group=hash_)
         return int(last)
 
     def entry(self, id_: str) -> Entry | None:
+        """Return the entry with this ID, if it exists."""
         start, _, number = id_.partition(".")
         if not (start.isdecimal() and number.isdecimal()):
             return None
-        query = f"SELECT {COLUMNS} FROM entries WHERE number = ? AND start = ?"
-        found = self.store.execute(query, (int(number), int(start))).fetchone()
+        query = f"SELECT {ENTRY_COLUMNS} FROM entries WHERE number = ? AND start = ?"
+        found = self.database.execute(query, (int(number), int(start))).fetchone()
         return self._entry(found) if found else None
 
     def entries(self, period: int | None = None, tenant: str | None = None) -> Iterable[Entry]:
-        where = ["1"]
-        given: list[Any] = []
+        """Iterate over the entries, of one period or tenant if given."""
+        conditions = ["1"]
+        parameters: list[Any] = []
         if period is not None:
-            where.append("period = ?")
-            given.append(period)
+            conditions.append("period = ?")
+            parameters.append(period)
         if tenant is not None:
-            where.append("tenant = (SELECT id FROM names WHERE text = ?)")
-            given.append(tenant)
-        query = f"SELECT {COLUMNS} FROM entries WHERE {' AND '.join(where)} ORDER BY number"
-        for row in self.store.execute(query, given):
+            conditions.append("tenant = (SELECT id FROM names WHERE text = ?)")
+            parameters.append(tenant)
+        query = f"SELECT {ENTRY_COLUMNS} FROM entries WHERE {' AND '.join(conditions)} ORDER BY number"
+        for row in self.database.execute(query, parameters):
             yield self._entry(row)
 
     def _entry(self, row: Row) -> Entry:
-        line = Line(self._text(row[3]), self._text(row[4]), Kind(row[5]), *row[11:14])
-        return Entry(row[1], row[0], row[2], line, Amounts(*row[6:11]), row[14])
+        """Convert a row to an entry."""
+        key = UsageKey(self._name_text(row[3]), self._name_text(row[4]), Kind(row[5]), *row[11:14])
+        return Entry(row[1], row[0], row[2], key, Amounts(*row[6:11]), row[14])
 
-    def sums(self, period: int, after: int, through: int) -> dict[Line, Amounts]:
-        """A period's entries from behind one to another, by line. Added up in the store: read one by one
-        they held the book for a quarter of a second at each close, and acked answers with it."""
+    def period_sums(self, period: int, after: int, through: int) -> dict[UsageKey, Amounts]:
+        """Sum up a period's entries with numbers above `after`, up to `through`.
+
+        The database sums them up: reading entries one by one blocked the journal for a quarter of a second at
+        each close, and served answers with it.
+        """
         names = "tenant, type, kind, corrects, who, why"
         query = (
             f"SELECT {names}, SUM(ops), SUM(run), SUM(calls), SUM(importance), SUM(octets) FROM entries "
             f"WHERE period = ? AND number > ? AND number <= ? GROUP BY {names}, CASE kind WHEN 6 THEN "
             f"number END"
         )
-        return sums(
-            (Line(self._text(row[0]), self._text(row[1]), Kind(row[2]), *row[3:6]), Amounts(*row[6:]))
-            for row in self.store.execute(query, (period, after, through)).fetchall()
+        return sum_by_key(
+            (
+                UsageKey(self._name_text(row[0]), self._name_text(row[1]), Kind(row[2]), *row[3:6]),
+                Amounts(*row[6:]),
+            )
+            for row in self.database.execute(query, (period, after, through)).fetchall()
         )
 
-    def correct(self, id_: str, amounts: Amounts, who: str, why: str) -> Entry:
-        """One more entry, in the period of the one it corrects. A closed period gets one more version for
-        it."""
-        with self._writing():
-            old = self.entry(id_)
-            if old is None:
-                raise BadBook(
-                    f"{self.path}: has no entry {id_}, or it was folded; ledger show names those there are"
+    def correct(self, entry_id: str, amounts: Amounts, who: str, why: str) -> Entry:
+        """Add a correction of an entry, in the same period. A closed period gets a further version."""
+        with self._entry_transaction():
+            corrected = self.entry(entry_id)
+            if corrected is None:
+                raise StoreError(
+                    f"{self.path}: no entry {entry_id}, or it was compacted; `ledger show` lists the entries"
                 )
-            if old.line.kind == Kind.CORRECTION:
-                raise BadBook(
-                    f"{self.path}: entry {id_} is a correction; correct {old.line.corrects} once more"
+            if corrected.key.kind == Kind.CORRECTION:
+                raise StoreError(
+                    f"{self.path}: entry {entry_id} is a correction; correct {corrected.key.corrects} again"
                 )
             if not why.strip() or not who.strip():
-                raise BadBook("a correction needs who and why")
-            names = self._name(old.line.tenant), self._name(old.line.type)
-            row = (None, old.start, old.period, *names, int(Kind.CORRECTION), *amounts, id_, who, why, old.op)
+                raise StoreError("a correction needs a non-empty who and why")
+            names = self._name_id(corrected.key.tenant), self._name_id(corrected.key.type)
+            row = (
+                None,
+                corrected.start,
+                corrected.period,
+                *names,
+                int(Kind.CORRECTION),
+                *amounts,
+                entry_id,
+                who,
+                why,
+                corrected.request_id,
+            )
             number = self._insert([row])
-            self.step("correction")
-        found = self.store.execute(f"SELECT {COLUMNS} FROM entries WHERE number = ?", (number,)).fetchone()
+            self.failpoint("correction")
+        found = self.database.execute(
+            f"SELECT {ENTRY_COLUMNS} FROM entries WHERE number = ?", (number,)
+        ).fetchone()
         return self._entry(found)
 
     # Periods.
 
-    def close(self, now: float) -> list[Made]:
-        """Corrections to closed periods first, then the periods that are due; the batches that this made."""
-        made: list[Made] = []
-        for period in self._corrected():
-            made += self._version(period)
+    def close_periods(self, now: float) -> list[BatchReference]:
+        """Create batches for corrected periods, then for periods that may close; returns the new batches."""
+        made: list[BatchReference] = []
+        for period in self._corrected_periods():
+            made += self._close_version(period)
         query = "SELECT DISTINCT period FROM entries WHERE period > ?"
-        held = [row[0] for row in self.store.execute(query, (self.periods.closed,))]
-        for period in self.periods.due(now, held):
-            made += self._version(period)
+        periods = [row[0] for row in self.database.execute(query, (self.periods.closed,))]
+        for period in self.periods.closable_periods(now, periods):
+            made += self._close_version(period)
         return made
 
-    def _corrected(self) -> list[int]:
-        """Closed periods with entries behind their last version, oldest first."""
+    def _corrected_periods(self) -> list[int]:
+        """Return closed periods with entries that no version includes, oldest first."""
         query = (
             "SELECT DISTINCT e.period FROM entries e JOIN (SELECT period, MAX(through) AS t FROM versions "
             "GROUP BY period) v ON v.period = e.period WHERE e.number > v.t ORDER BY e.period"
         )
-        return [row[0] for row in self.store.execute(query)]
+        return [row[0] for row in self.database.execute(query)]
 
-    def _version(self, period: int) -> list[Made]:
-        """A period's sums, from the entry behind its last version on, as batches of one transaction."""
-        made: list[Made] = []
-        self.step("close")
-        with Transaction(self.store):
+    def _close_version(self, period: int) -> list[BatchReference]:
+        """Create the next version of a period: the sums of its new entries as batches, in one transaction."""
+        made: list[BatchReference] = []
+        self.failpoint("close")
+        with Transaction(self.database):
             query = "SELECT MAX(version), MAX(through) FROM versions WHERE period = ?"
-            version, through = self.store.execute(query, (period,)).fetchone()
+            version, through = self.database.execute(query, (period,)).fetchone()
             version, after = (version or 0) + 1, through or 0
-            (last,) = self.store.execute("SELECT MAX(number) FROM entries").fetchone()
-            cut = wire.parts(self.sums(period, after, last).items())
-            number, before = self.last()
+            (last,) = self.database.execute("SELECT MAX(number) FROM entries").fetchone()
+            parts = wire.split_rows(self.period_sums(period, after, last).items())
+            number, before = self.last_batch()
             first = number + 1
-            for part, rows in enumerate(cut):
+            for part, rows in enumerate(parts):
                 number += 1
-                body = Body(number, period, version, part + 1, len(cut), self.periods.length, rows)
-                batch = Batch(number, before, wire.body(body))
+                body = BatchBody(number, period, version, part + 1, len(parts), self.periods.length, rows)
+                batch = Batch(number, before, wire.encode_body(body))
                 before = batch.hash
-                self.store.execute("INSERT INTO batches VALUES (?, ?, ?, ?)", (*batch, before))
-                made.append(Made(number, before))
-            self.store.execute(
+                self.database.execute("INSERT INTO batches VALUES (?, ?, ?, ?)", (*batch, before))
+                made.append(BatchReference(number, before))
+            self.database.execute(
                 "INSERT INTO versions VALUES (?, ?, ?, ?, ?)", (period, version, last, first, number)
             )
             closed = max(self.periods.closed, period)
-            self._set(closed=closed)
-            self.step("closing")
-        self.periods.close(period)
-        self.step("closed")
+            self._write_meta(closed=closed)
+            self.failpoint("closing")
+        self.periods.mark_closed(period)
+        self.failpoint("closed")
         return made
 
     # Batches.
 
-    def last(self) -> tuple[int, bytes]:
-        """The last batch made, and its hash."""
-        found = self.store.execute("SELECT number, hash FROM batches ORDER BY number DESC LIMIT 1").fetchone()
-        return found or (self.meta("kept") - 1, bytes(self.meta("anchor")))
+    def last_batch(self) -> tuple[int, bytes]:
+        """Return number and hash of the last batch created."""
+        found = self.database.execute(
+            "SELECT number, hash FROM batches ORDER BY number DESC LIMIT 1"
+        ).fetchone()
+        return found or (self.read_meta("kept") - 1, bytes(self.read_meta("anchor")))
 
     def batch(self, number: int) -> Batch | None:
-        found = self.store.execute(
+        """Return the batch with this number, if it is still kept."""
+        found = self.database.execute(
             "SELECT number, before, body FROM batches WHERE number = ?", (number,)
         ).fetchone()
         return Batch(*found) if found else None
 
-    def hashes(self) -> dict[int, bytes]:
-        """Of all batches that are here, and of the one before them."""
-        found = dict(self.store.execute("SELECT number, hash FROM batches").fetchall())
-        return {self.meta("kept") - 1: bytes(self.meta("anchor"))} | found
-
-    def marked(self, number: int) -> None:
-        """The receiver holds all up to here."""
-        self.step("acknowledge")
-        with Transaction(self.store):
-            self._set(acked=max(number, self.meta("acked")))
-        self.step("acknowledged")
-
-    def pin(self, receiver: bytes) -> None:
-        with Transaction(self.store):
-            self._set(receiver=receiver)
-
-    def fold(self, keep: int = KEEP) -> int:
-        """Add up and remove what is acknowledged and old; how many periods that took. A correction reaches
-        back as far as the periods that stay."""
-        acked = self.meta("acked")
+    def batch_hashes(self) -> dict[int, bytes]:
+        """Return the hashes of all kept batches and of the one before them."""
+        found = dict(self.database.execute("SELECT number, hash FROM batches").fetchall())
+        return {self.read_meta("kept") - 1: bytes(self.read_meta("anchor"))} | found
+
+    def record_acknowledged(self, number: int) -> None:
+        """Record that the receiver holds all batches up to `number`."""
+        self.failpoint("acknowledge")
+        with Transaction(self.database):
+            self._write_meta(acked=max(number, self.read_meta("acked")))
+        self.failpoint("acknowledged")
+
+    def record_receiver(self, receiver: bytes) -> None:
+        """Record the ID of the receiver."""
+        with Transaction(self.database):
+            self._write_meta(receiver=receiver)
+
+    def compact(self, keep: int = DEFAULT_KEPT_PERIODS) -> int:
+        """Replace old, acknowledged periods by their sums, and return how many were removed.
+
+        Only entries of the `keep` latest periods can be corrected afterwards.
+        """
+        acked = self.read_meta("acked")
         query = "SELECT period, MAX(last_batch) FROM versions GROUP BY period ORDER BY period"
-        periods = self.store.execute(query).fetchall()
-        old = [period for period, last in periods[:-keep] if last <= acked] if len(periods) > keep else []
-        pending = set(self._corrected())
-        old = [period for period in old if period not in pending]
-        if not old:
+        periods = self.database.execute(query).fetchall()
+        expired = [period for period, last in periods[:-keep] if last <= acked] if len(periods) > keep else []
+        pending = set(self._corrected_periods())
+        expired = [period for period in expired if period not in pending]
+        if not expired:
             return 0
-        self.step("fold")
-        with Transaction(self.store):
-            for period in old:
-                for line, amounts in self.sums(period, 0, 1 << 62).items():
-                    self.store.execute(
+        self.failpoint("fold")
+        with Transaction(self.database):
+            for period in expired:
+                for key, amounts in self.period_sums(period, 0, 1 << 62).items():
+                    self.database.execute(
                         "INSERT INTO folded VALUES (?, ?, ?, ?, ?, ?, ?, ?) ON CONFLICT DO UPDATE SET "
                         "ops = ops + excluded.ops, run = run + excluded.run, calls = calls + excluded.calls, "
                         "importance = importance + excluded.importance, octets = octets + excluded.octets",
-                        (line.tenant, line.type, int(line.kind), *amounts))  # fmt: skip
-                self.store.execute("DELETE FROM entries WHERE period = ?", (period,))
-                self.store.execute("DELETE FROM versions WHERE period = ?", (period,))
-            # Batches go from the front only: the chain that is left begins at the anchor.
-            (stays,) = self.store.execute("SELECT MIN(first_batch) FROM versions").fetchone()
-            last, _ = self.last()
-            upto = min((stays or last + 1) - 1, acked, last - 1)
-            if upto >= self.meta("kept"):
-                (hash_,) = self.store.execute("SELECT hash FROM batches WHERE number = ?", (upto,)).fetchone()
-                self.store.execute("DELETE FROM batches WHERE number <= ?", (upto,))
-                self._set(kept=upto + 1, anchor=hash_)
-            (first,) = self.store.execute("SELECT MIN(number) FROM entries").fetchone()
+                        (key.tenant, key.type, int(key.kind), *amounts))  # fmt: skip
+                self.database.execute("DELETE FROM entries WHERE period = ?", (period,))
+                self.database.execute("DELETE FROM versions WHERE period = ?", (period,))
+            # Batches are removed from the oldest on; the anchor is the hash of the last one removed.
+            (first_needed,) = self.database.execute("SELECT MIN(first_batch) FROM versions").fetchone()
+            last, _ = self.last_batch()
+            last_removed = min((first_needed or last + 1) - 1, acked, last - 1)
+            if last_removed >= self.read_meta("kept"):
+                (hash_,) = self.database.execute(
+                    "SELECT hash FROM batches WHERE number = ?", (last_removed,)
+                ).fetchone()
+                self.database.execute("DELETE FROM batches WHERE number <= ?", (last_removed,))
+                self._write_meta(kept=last_removed + 1, anchor=hash_)
+            (first,) = self.database.execute("SELECT MIN(number) FROM entries").fetchone()
             through = (
-                first or (self.store.execute("SELECT MAX(last) FROM groups").fetchone()[0] or 0) + 1
+                first or (self.database.execute("SELECT MAX(last) FROM groups").fetchone()[0] or 0) + 1
             ) - 1
-            self.store.execute("DELETE FROM groups WHERE last <= ?", (through,))
-            self._set(folded_through=max(through, self.meta("folded_through")))
-            self.step("folding")
-        self.step("folded")
-        return len(old)
+            self.database.execute("DELETE FROM groups WHERE last <= ?", (through,))
+            self._write_meta(folded_through=max(through, self.read_meta("folded_through")))
+            self.failpoint("folding")
+        self.failpoint("folded")
+        return len(expired)
 
-    # What is told.
+    # Reports.
 
-    def size(self) -> int:
-        """Octets of the file, but for pages that are free in it."""
+    def size_bytes(self) -> int:
+        """Return the size of the database without its free pages."""
         pages, free, octets = (
-            self.store.execute(f"PRAGMA {name}").fetchone()[0]
+            self.database.execute(f"PRAGMA {name}").fetchone()[0]
             for name in ("page_count", "freelist_count", "page_size")
         )
         return int((pages - free) * octets)
 
-    def totals(self) -> dict[Line, Amounts]:
-        """Everything that was ever entered, by line; corrections added up under theirs."""
+    def totals(self) -> dict[UsageKey, Amounts]:
+        """Sum up all entries ever made; corrections are summed up by tenant, class and kind."""
         rows = [
-            (Line(r[0], r[1], Kind(r[2])), Amounts(*r[3:]))
-            for r in self.store.execute("SELECT * FROM folded")
+            (UsageKey(r[0], r[1], Kind(r[2])), Amounts(*r[3:]))
+            for r in self.database.execute("SELECT * FROM folded")
         ]
-        rows += [(Line(*entry.line[:3]), entry.amounts) for entry in self.entries()]
-        return sums(rows)
+        rows += [(UsageKey(*entry.key[:3]), entry.amounts) for entry in self.entries()]
+        return sum_by_key(rows)
 
     def verify(self) -> list[str]:
-        """What does not fit, the first place first; nothing where all does."""
+        """Check the database, all hashes and all sums; returns the problems found, first one first."""
         try:
-            check = [row[0] for row in self.store.execute("PRAGMA quick_check")]
+            check = [row[0] for row in self.database.execute("PRAGMA quick_check")]
             return [f"{self.path}: {line}" for line in check if line != "ok"] or [
-                *self._groups(),
-                *self._chain(),
+                *self._group_errors(),
+                *self._chain_errors(),
             ]
-        except (sqlite3.DatabaseError, wire.BadSay, ValueError, TypeError) as error:
+        except (sqlite3.DatabaseError, wire.ProtocolError, ValueError, TypeError) as error:
             return [f"{self.path}: {error}"]
 
-    def _groups(self) -> Iterable[str]:
-        """Each group that is here in whole and follows one that is."""
-        before, through = None, self.meta("folded_through")
-        for last, first, hash_ in self.store.execute(
+    def _group_errors(self) -> Iterable[str]:
+        """Check the hash of each group that is complete and follows a kept one."""
+        before, through = None, self.read_meta("folded_through")
+        for last, first, hash_ in self.database.execute(
             "SELECT last, first, hash FROM groups ORDER BY last"
         ).fetchall():
-            query = f"SELECT {COLUMNS} FROM entries WHERE number BETWEEN ? AND ? ORDER BY number"
-            rows = self.store.execute(query, (first, last)).fetchall()
-            whole = len(rows) == last - first + 1
-            if before is not None and whole and _hash(before, rows) != hash_:
-                yield f"{self.path}: entries {first} to {last} are not as they were committed"
-            elif not whole and first > through and not self._folded(first, last):
-                yield f"{self.path}: of entries {first} to {last} only {len(rows)} are there"
-            elif before is None and first == 1 and _hash(b"", rows) != hash_ and whole:
-                yield f"{self.path}: entries {first} to {last} are not as they were committed"
+            query = f"SELECT {ENTRY_COLUMNS} FROM entries WHERE number BETWEEN ? AND ? ORDER BY number"
+            rows = self.database.execute(query, (first, last)).fetchall()
+            is_complete = len(rows) == last - first + 1
+            if before is not None and is_complete and _group_hash(before, rows) != hash_:
+                yield f"{self.path}: entries {first} to {last} have changed since they were committed"
+            elif not is_complete and first > through and not self._has_compacted(first, last):
+                yield f"{self.path}: entries {first} to {last}: only {len(rows)} exist"
+            elif before is None and first == 1 and _group_hash(b"", rows) != hash_ and is_complete:
+                yield f"{self.path}: entries {first} to {last} have changed since they were committed"
             before = hash_
 
-    def _folded(self, first: int, last: int) -> bool:
-        """Whether entries of a group may be gone: a period that was folded leaves gaps in groups that span
-        several."""
-        return self.meta("kept") > 1 or bool(self.store.execute("SELECT 1 FROM folded").fetchone())
+    def _has_compacted(self, first: int, last: int) -> bool:
+        """Return whether compaction may have removed entries, as a group may span several periods."""
+        return self.read_meta("kept") > 1 or bool(self.database.execute("SELECT 1 FROM folded").fetchone())
 
-    def _chain(self) -> Iterable[str]:
-        before, expected = bytes(self.meta("anchor")), self.meta("kept")
-        found: dict[int, list[tuple[Line, Amounts]]] = {}
-        batches = self.store.execute(
+    def _chain_errors(self) -> Iterable[str]:
+        """Check that each batch follows the one before, and that batches match the entries."""
+        previous_hash, expected_number = bytes(self.read_meta("anchor")), self.read_meta("kept")
+        rows_by_period: dict[int, list[tuple[UsageKey, Amounts]]] = {}
+        batches = self.database.execute(
             "SELECT number, before, body, hash FROM batches ORDER BY number"
         ).fetchall()
-        for number, named, body, hash_ in batches:
-            batch = Batch(number, named, body)
-            if number != expected or named != before or batch.hash != hash_:
+        for number, before, body, hash_ in batches:
+            batch = Batch(number, before, body)
+            if number != expected_number or before != previous_hash or batch.hash != hash_:
                 yield f"{self.path}: batch {number} does not follow the one before it"
                 return
-            read = wire.read_body(body)
-            if read.number != number:
-                yield f"{self.path}: batch {number} says that it is {read.number}"
+            decoded = wire.decode_body(body)
+            if decoded.number != number:
+                yield f"{self.path}: batch {number} contains number {decoded.number}"
                 return
-            found.setdefault(read.period, []).extend(read.rows)
-            before, expected = hash_, number + 1
-        for period, first, through in self.store.execute(
+            rows_by_period.setdefault(decoded.period, []).extend(decoded.rows)
+            previous_hash, expected_number = hash_, number + 1
+        for period, first, through in self.database.execute(
             "SELECT period, MIN(first_batch), MAX(through) FROM versions GROUP BY period ORDER BY period"
         ).fetchall():
-            if first < self.meta("kept"):
+            if first < self.read_meta("kept"):
                 continue
-            told = self.sums(period, 0, through)
-            if sums(found.get(period, [])) != told:
-                yield f"{self.path}: the sums of period {period} are not those of its entries"
+            expected_sums = self.period_sums(period, 0, through)
+            if sum_by_key(rows_by_period.get(period, [])) != expected_sums:
+                yield f"{self.path}: the sums of period {period} differ from its entries"
 
 
-def _hash(before: bytes, rows: Iterable[Row]) -> bytes:
-    return sha256(before + repr([tuple(row) for row in rows]).encode()).digest()
+def _group_hash(previous_hash: bytes, rows: Iterable[Row]) -> bytes:
+    """Hash the rows of a group together with the hash of the group before."""
+    return sha256(previous_hash + repr([tuple(row) for row in rows]).encode()).digest()
