--- a/thymeyoke/ledger/usage_recorder.py
+++ b/thymeyoke/ledger/usage_recorder.py
@@ -1,9 +1,10 @@
-"""The actor behind the desk: what ops used goes to the book in groups, off the event loop; answers wait for
-it where the operators say so, and never past a stated moment.
+"""Actor that writes the usage of requests to the journal, in groups and off the event loop.
 
-Bounds: `MOST` uses that are not in the book yet. Past half of them ops are refused where `full = refuse`;
-past all of them uses are lost, and counted. An answer that waits is told when its use is in the book, or at
-its moment.
+With `answers = after`, served answers wait until their usage is committed, but never past the deadline that
+the dispatcher has set.
+
+At most `MAX_PENDING_USAGES` are waiting to be written. At half of that, requests are rejected if `full =
+refuse`; at the limit, usage is dropped and counted.
 """
 
 from __future__ import annotations
@@ -25,8 +26,8 @@
 
 from thymeyoke.ledger import exporter
 from thymeyoke.ledger.configuration import Ledger
-from thymeyoke.ledger.usage_entries import Kind, Recent, Use
-from thymeyoke.ledger.usage_journal import BadBook, Book, Made
+from thymeyoke.ledger.usage_entries import Kind, RecentRunTimes, RequestUsage
+from thymeyoke.ledger.usage_journal import BatchReference, StoreError, UsageJournal
 from thymeyoke.runtime import logs
 from thymeyoke.runtime.clock import clock
 from thymeyoke.runtime.extensions import (
@@ -42,263 +43,285 @@
     Verdict,
 )
 
-MOST = 20_000
-GROUP = 1000
-CLOSE_EVERY = 1.0  # seconds between looks for what may close
-RETRY, RETRY_TOP = 0.1, 5.0  # seconds after a commit that failed, doubling
-KINDS = {
+MAX_PENDING_USAGES = 20_000
+MAX_GROUP_SIZE = 1000
+CLOSE_INTERVAL = 1.0  # seconds
+RETRY_DELAY, MAX_RETRY_DELAY = 0.1, 5.0  # seconds; doubled with each failed commit
+KIND_BY_VERDICT = {
     Verdict.SERVED: Kind.ACKED,
     Verdict.REJECTED: Kind.NACKED,
     Verdict.FAILED: Kind.FAILED,
     None: Kind.GONE,
 }
 
-Found = TypeVar("Found")
+Result = TypeVar("Result")
+
 
+class DelayedAnswer(NamedTuple):
+    """An answer that waits for the commit of its request's usage, and the latest time to send it."""
 
-class Waiting(NamedTuple):
-    asker: AnswerReceiver
+    client: AnswerReceiver
     answer: Answer
-    until: float
+    deadline: float
 
 
-class Pending:
-    """A use on its way to the book, and the answer that waits for it, until it is told."""
+class PendingUsage:
+    """Usage to be written, with the answer that waits for it, if any."""
 
-    def __init__(self, use: Use, waiting: Waiting | None) -> None:
-        self.use, self.waiting = use, waiting
+    def __init__(self, usage: RequestUsage, delayed_answer: DelayedAnswer | None) -> None:
+        self.usage, self.delayed_answer = usage, delayed_answer
 
-    def tell(self) -> None:
-        if self.waiting is not None:
-            waiting, self.waiting = self.waiting, None
-            waiting.asker.send(waiting.answer)
+    def send_answer(self) -> None:
+        """Send the answer, unless it was already sent."""
+        if self.delayed_answer is not None:
+            delayed_answer, self.delayed_answer = self.delayed_answer, None
+            delayed_answer.client.send(delayed_answer.answer)
 
 
 class UsageRecorder:
-    """Stands behind the desk while the operators' file has `[ledger]`."""
+    """Extension for the section `[ledger]`."""
 
     name = "ledger"
     observes_requests, extends_drain = True, False
 
-    def __init__(self, told: Ledger, around: ExtensionContext) -> None:
-        self.told, self.rng = told, Random(around.seed)
-        self.who = around.name
-        self.tenants, self.types = (
-            list(around.request_names.tenants) or [""],
-            list(around.request_names.request_classes),
+    def __init__(self, settings: Ledger, context: ExtensionContext) -> None:
+        self.settings, self.rng = settings, Random(context.seed)
+        self.server_name = context.name
+        self.tenants, self.request_classes = (
+            list(context.request_names.tenants) or [""],
+            list(context.request_names.request_classes),
         )
-        self.desk: MemoryObjectSendStream[StatusQuery] = around.dispatcher
-        self.recent = Recent()
-        self.queue: deque[Pending] = deque()
-        self.group: list[Pending] = []  # being committed
-        self.late: list[
-            tuple[float, int, Pending]
-        ] = []  # answers by the moment that they are told at the latest
-        self.order = 0
-        self.stirred = anyio.Event()
-        self.timed = anyio.Event()
-        self.too_large = self.over = self.running = False
-        self.book: Book | None = None
+        self.dispatcher: MemoryObjectSendStream[StatusQuery] = context.dispatcher
+        self.recent_run_times = RecentRunTimes()
+        self.queue: deque[PendingUsage] = deque()
+        self.group: list[PendingUsage] = []  # being committed
+        self.delayed_answers: list[tuple[float, int, PendingUsage]] = []  # heap by deadline
+        self.next_order = 0
+        self.wakeup = anyio.Event()
+        self.deadline_added = anyio.Event()
+        self.too_large = self.stopping = self.running = False
+        self.journal: UsageJournal | None = None
         self.limiter = anyio.CapacityLimiter(1)
-        self.using = Lock()  # the book's file
-        self.left_over: Book | None = None  # to be closed by the thread that is at it
-        self.sender: exporter.Exporter | None = None
-
-    # The seam.
-
-    def notify(self, what: ServerStatus | DrainStarted | ConfigurationChanged) -> None:
-        if isinstance(what, ConfigurationChanged):
-            if what.section is None:
-                self.over = True
-                self.stirred.set()
-            elif what.section != self.told:
+        self.journal_lock = Lock()  # held while the database is in use
+        self.journal_to_close: UsageJournal | None = None  # closed by the thread that still uses it
+        self.exporter: exporter.Exporter | None = None
+
+    # Interface of extensions.
+
+    def notify(self, event: ServerStatus | DrainStarted | ConfigurationChanged) -> None:
+        """Receive a notification; a changed section takes effect at the next start."""
+        if isinstance(event, ConfigurationChanged):
+            if event.section is None:
+                self.stopping = True
+                self.wakeup.set()
+            elif event.section != self.settings:
                 logs.log_event(logging.WARNING, "ledger_change_deferred")
 
     def accepts_requests(self) -> bool:
-        """Whether an op may come in: with `refuse`, only while its use can be kept."""
-        return self.told.full != "refuse" or not (self.too_large or len(self.queue) >= MOST // 2)
+        """Return whether requests may be admitted: with `full = refuse` only while usage can be stored."""
+        return self.settings.full != "refuse" or not (
+            self.too_large or len(self.queue) >= MAX_PENDING_USAGES // 2
+        )
 
     def has_pending_answers(self) -> bool:
-        """Whether something is still on its way to the book: a drain waits for it, as long as it may."""
-        return bool(self.late or self.queue or self.group)
-
-    def request_completed(self, op: RequestCompletion) -> None:
-        """An op's end, told with its answer where it gets one. The answer is this actor's to tell."""
-        kind = Kind.REPEAT if op.is_repeat and op.verdict is Verdict.SERVED else KINDS[op.verdict]
-        tenant = self.tenants[op.tenant] if op.tenant < len(self.tenants) else ""
-        use = Use(
-            op.at,
+        """Return whether usage or answers are still pending; a drain waits for them."""
+        return bool(self.delayed_answers or self.queue or self.group)
+
+    def request_completed(self, completion: RequestCompletion) -> None:
+        """Record the end of a request, and send its answer if it has one."""
+        kind = (
+            Kind.REPEAT
+            if completion.is_repeat and completion.verdict is Verdict.SERVED
+            else KIND_BY_VERDICT[completion.verdict]
+        )
+        tenant = self.tenants[completion.tenant] if completion.tenant < len(self.tenants) else ""
+        usage = RequestUsage(
+            completion.at,
             tenant,
-            self.types[op.class_index],
+            self.request_classes[completion.class_index],
             kind,
-            op.run_time,
-            op.calls,
-            op.priority_weight,
-            op.size_bytes,
-            op.id,
+            completion.run_time,
+            completion.calls,
+            completion.priority_weight,
+            completion.size_bytes,
+            completion.id,
+        )
+        self.recent_run_times.add(completion.at, tenant, completion.run_time)
+        delayed_answer = (
+            DelayedAnswer(completion.client, completion.answer, completion.answer_by)
+            if completion.client and completion.answer
+            else None
         )
-        self.recent.add(op.at, tenant, op.run_time)
-        waiting = Waiting(op.client, op.answer, op.answer_by) if op.client and op.answer else None
-        pending = Pending(use, waiting)
-        if len(self.queue) >= MOST or (self.too_large and self.told.full == "lose"):
+        pending = PendingUsage(usage, delayed_answer)
+        if len(self.queue) >= MAX_PENDING_USAGES or (self.too_large and self.settings.full == "lose"):
             logs.counters["ledger_lost"] += 1
-            return pending.tell()
-        if waiting is not None:
-            if kind not in (Kind.ACKED, Kind.REPEAT) or self.told.answers == "before":
-                pending.tell()  # what is given up is told at once, whatever the book does
+            return pending.send_answer()
+        if delayed_answer is not None:
+            if kind not in (Kind.ACKED, Kind.REPEAT) or self.settings.answers == "before":
+                pending.send_answer()  # only served requests wait for the commit
             elif not self.running:
                 logs.counters["ledger_told_unbacked"] += 1
-                pending.tell()
+                pending.send_answer()
             else:
-                self.order += 1
-                heappush(self.late, (waiting.until, self.order, pending))
-                self.timed.set()
+                self.next_order += 1
+                heappush(self.delayed_answers, (delayed_answer.deadline, self.next_order, pending))
+                self.deadline_added.set()
         self.queue.append(pending)
-        self.stirred.set()
+        self.wakeup.set()
 
     def close(self) -> None:
-        """A thread that was abandoned may still be at the book: then it closes it. A file closed under
-        a statement ends the process."""
-        if self.book is not None:
-            book, self.book = self.book, None
-            if self.using.acquire(blocking=False):
+        """Close the journal, or leave that to an abandoned thread that still uses it.
+
+        Closing the database during a statement would crash the process.
+        """
+        if self.journal is not None:
+            journal, self.journal = self.journal, None
+            if self.journal_lock.acquire(blocking=False):
                 with suppress(Exception):
-                    book.close_file()
-                self.using.release()
+                    journal.close_database()
+                self.journal_lock.release()
             else:
-                self.left_over = book
+                self.journal_to_close = journal
 
-    # The book.
+    # Writing the journal.
 
     async def run(self) -> None:
-        self.running = True  # without it nobody would tell an answer that waits
+        """Write usage and export it until the section is removed or the task is cancelled."""
+        self.running = True  # otherwise nothing sends delayed answers
         try:
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(self._tell_late)
-                self.book = await self._opened()
-                if self.told.receiver is not None:
-                    self.sender = exporter.Exporter(
-                        self.told.receiver, self.who, self.rng, self.book, self._off
+                tasks.start_soon(self._send_overdue_answers)
+                self.journal = await self._open_journal()
+                if self.settings.receiver is not None:
+                    self.exporter = exporter.Exporter(
+                        self.settings.receiver, self.server_name, self.rng, self.journal, self._run_in_thread
                     )
-                    tasks.start_soon(self.sender.run)
-                await self._keep()
+                    tasks.start_soon(self.exporter.run)
+                await self._write_usages()
                 tasks.cancel_scope.cancel()
         finally:
-            self.running, self.sender = False, None
+            self.running, self.exporter = False, None
             self.queue.extendleft(reversed(self.group))
             self.group = []
-            for _, _, pending in self.late:
-                pending.tell()
-            self.late.clear()
+            for _, _, pending in self.delayed_answers:
+                pending.send_answer()
+            self.delayed_answers.clear()
             self.close()
 
-    async def _opened(self) -> Book:
-        path, durable = Path(self.told.path), self.told.answers == "after"
+    async def _open_journal(self) -> UsageJournal:
+        """Open the journal in a thread."""
+        path, durable = Path(self.settings.path), self.settings.answers == "after"
         try:
-            return await self._off(lambda: Book(path, self.told.period, durable))
-        except BadBook as error:
+            return await self._run_in_thread(lambda: UsageJournal(path, self.settings.period, durable))
+        except StoreError as error:
             logs.counters["ledger_bad_book"] += 1
-            raise RuntimeError(f"no ledger: {error}") from None
+            raise RuntimeError(f"usage journal can't be opened: {error}") from None
 
-    async def _off(self, what: Callable[[], Found]) -> Found:
-        """In a thread; one at a time. A disk that hangs holds up the thread, not the server."""
+    async def _run_in_thread(self, call: Callable[[], Result]) -> Result:
+        """Run a blocking call in a thread, one at a time, so that a slow disk can't block the event loop."""
 
-        def work() -> Found:
-            with self.using:
+        def work() -> Result:
+            with self.journal_lock:
                 try:
-                    return what()
+                    return call()
                 finally:
-                    if self.left_over is not None:
-                        self.left_over.close_file()
-                        self.left_over = None
+                    if self.journal_to_close is not None:
+                        self.journal_to_close.close_database()
+                        self.journal_to_close = None
 
         return await to_thread.run_sync(work, abandon_on_cancel=True, limiter=self.limiter)
 
-    async def _keep(self) -> None:
-        pause, close_at = RETRY, clock()
-        while not (self.over and not self.queue):
+    async def _write_usages(self) -> None:
+        """Commit pending usage and close periods; failed commits are retried with a growing delay."""
+        pause, close_at = RETRY_DELAY, clock()
+        while not (self.stopping and not self.queue):
             if self.queue and not self.group:
-                self.group = [self.queue.popleft() for _ in range(min(GROUP, len(self.queue)))]
+                self.group = [self.queue.popleft() for _ in range(min(MAX_GROUP_SIZE, len(self.queue)))]
             try:
                 if self.group:
-                    await self._commit()
+                    await self._commit_group()
                 if clock() >= close_at:
-                    close_at = clock() + CLOSE_EVERY
-                    await self._close()
-                pause = RETRY
-            except sqlite3.Error as error:  # full, or broken: the group stays and is tried again
+                    close_at = clock() + CLOSE_INTERVAL
+                    await self._close_periods()
+                pause = RETRY_DELAY
+            except sqlite3.Error as error:  # disk full or failed; the group is kept and retried
                 logs.counters["ledger_commit_failed"] += 1
-                if pause == RETRY:
+                if pause == RETRY_DELAY:
                     logs.log_event(logging.ERROR, "ledger_commit_failed", error)
                 await anyio.sleep(pause)
-                pause = min(RETRY_TOP, 2 * pause)
+                pause = min(MAX_RETRY_DELAY, 2 * pause)
                 continue
             if not self.queue:
-                self.stirred = anyio.Event()
+                self.wakeup = anyio.Event()
                 with anyio.move_on_after(max(0.0, close_at - clock())):
-                    await self.stirred.wait()
+                    await self.wakeup.wait()
 
-    async def _commit(self) -> None:
-        book, group = self.book, self.group
-        assert book is not None
-        made = await self._off(lambda: book.append([pending.use for pending in group]))
+    async def _commit_group(self) -> None:
+        """Commit the current group and send the answers that wait for it."""
+        journal, group = self.journal, self.group
+        assert journal is not None
+        entry_count = await self._run_in_thread(lambda: journal.append([pending.usage for pending in group]))
         self.group = []
-        logs.counters["ledger_entries"] += made
+        logs.counters["ledger_entries"] += entry_count
         logs.counters["ledger_groups"] += 1
         for pending in group:
-            pending.tell()
-        while self.late and self.late[0][2].waiting is None:
-            heappop(self.late)
-
-    async def _close(self) -> None:
-        book = self.book
-        assert book is not None
-
-        def work() -> tuple[list[Made], int, int, int]:
-            made = book.close(clock())
-            folded = book.fold(self.told.keep) if made or self.too_large else 0
-            return made, folded, book.size(), book.meta("kept")
-
-        made, folded, size, kept = await self._off(work)
-        logs.counters["ledger_batches"] += len(made)
-        logs.counters["ledger_folded"] += folded
-        was, self.too_large = self.too_large, size > self.told.limit_mb << 20
-        if self.too_large and not was:
-            logs.log_event(logging.ERROR, "ledger_full", size=size, full=self.told.full)
-        shares = self.recent.shares(clock())
-        for old in [name for name in logs.gauges if name.startswith("ledger_share_")]:
-            del logs.gauges[old]
+            pending.send_answer()
+        while self.delayed_answers and self.delayed_answers[0][2].delayed_answer is None:
+            heappop(self.delayed_answers)
+
+    async def _close_periods(self) -> None:
+        """Close periods, compact the journal and update the metrics."""
+        journal = self.journal
+        assert journal is not None
+
+        def work() -> tuple[list[BatchReference], int, int, int]:
+            batches = journal.close_periods(clock())
+            compacted = journal.compact(self.settings.keep) if batches or self.too_large else 0
+            return batches, compacted, journal.size_bytes(), journal.read_meta("kept")
+
+        batches, compacted, size, first_kept = await self._run_in_thread(work)
+        logs.counters["ledger_batches"] += len(batches)
+        logs.counters["ledger_folded"] += compacted
+        was_too_large, self.too_large = self.too_large, size > self.settings.limit_mb << 20
+        if self.too_large and not was_too_large:
+            logs.log_event(logging.ERROR, "ledger_full", size=size, full=self.settings.full)
+        shares = self.recent_run_times.shares(clock())
+        for outdated in [name for name in logs.gauges if name.startswith("ledger_share_")]:
+            del logs.gauges[outdated]
         for tenant, share in list(shares.items())[:8]:
             logs.gauges[f"ledger_share_{tenant or 'none'}"] = round(share, 3)
-        if self.sender is not None:
-            self.sender.made(made, kept)
+        if self.exporter is not None:
+            self.exporter.batches_created(batches, first_kept)
 
-    async def _tell_late(self) -> None:
-        """No answer waits on the disk past its moment: then it goes without, and that is counted."""
+    async def _send_overdue_answers(self) -> None:
+        """Send answers whose deadline has come before their usage was committed, and count them."""
         while True:
             now = clock()
-            while self.late and (self.late[0][0] <= now or self.late[0][2].waiting is None):
-                pending = heappop(self.late)[2]
-                if pending.waiting is not None:
+            while self.delayed_answers and (
+                self.delayed_answers[0][0] <= now or self.delayed_answers[0][2].delayed_answer is None
+            ):
+                pending = heappop(self.delayed_answers)[2]
+                if pending.delayed_answer is not None:
                     logs.counters["ledger_told_unbacked"] += 1
-                    pending.tell()
-            self.timed = anyio.Event()
-            span = self.late[0][0] - clock() if self.late else float("inf")
+                    pending.send_answer()
+            self.deadline_added = anyio.Event()
+            span = self.delayed_answers[0][0] - clock() if self.delayed_answers else float("inf")
             with anyio.move_on_after(max(0.0, span)):
-                await self.timed.wait()
+                await self.deadline_added.wait()
 
 
-def check_host(told: Ledger) -> None:
-    """Whether this machine can carry the section out; `behind.Refused` else."""
+def check_host(settings: Ledger) -> None:
+    """Check that the journal can be opened on this machine; raises `HostConfigurationError` otherwise."""
     try:
-        Book(Path(told.path), told.period, begin=False).close_file()
-    except BadBook as error:
+        UsageJournal(Path(settings.path), settings.period, is_start=False).close_database()
+    except StoreError as error:
         raise HostConfigurationError(f"[ledger] path: {error}") from None
     except (OSError, sqlite3.Error) as error:
         raise HostConfigurationError(
-            f"[ledger] path: {told.path} can't be written ({error}); give a folder that can"
+            f"[ledger] path: {settings.path} is not writable ({error}); give a writable folder"
         ) from None
 
 
-def create_extension(told: Ledger, around: ExtensionContext) -> UsageRecorder:
-    return UsageRecorder(told, around)
+def create_extension(settings: Ledger, context: ExtensionContext) -> UsageRecorder:
+    """Create the extension for the section `[ledger]`."""
+    return UsageRecorder(settings, context)
--- a/thymeyoke/ledger/wire.py
+++ b/thymeyoke/ledger/wire.py
@@ -1,5 +1,7 @@
-"""What instances and receivers say, as protobuf behind its length; the names of `ledger.proto` end here.
-Pure."""
+"""Messages between exporters and receivers: protobuf with a length prefix. Pure, no I/O.
+
+Only this module uses the names of `ledger.proto`.
+"""
 
 from __future__ import annotations
 
@@ -10,18 +12,18 @@
 from google.protobuf.message import DecodeError
 
 from thymeyoke.ledger import ledger_pb2 as pb
-from thymeyoke.ledger.usage_entries import Amounts, Kind, Line
+from thymeyoke.ledger.usage_entries import Amounts, Kind, UsageKey
 
-MOST = 1 << 20  # octets of a message
-ROWS = 1000  # of a batch: a period with more lines is cut in parts
+MAX_MESSAGE_BYTES = 1 << 20
+MAX_ROWS_PER_BATCH = 1000  # periods with more rows are split into parts
 
 
-class BadSay(Exception):
-    """What the other side sent is not of the protocol."""
+class ProtocolError(Exception):
+    """The peer sent something that violates the protocol."""
 
 
-class Body(NamedTuple):
-    """A part of a closed period's sums."""
+class BatchBody(NamedTuple):
+    """One part of the sums of a closed period. Fields have the names of the protobuf message."""
 
     number: int
     period: int
@@ -29,118 +31,139 @@
     part: int
     parts: int
     length: int
-    rows: tuple[tuple[Line, Amounts], ...]
+    rows: tuple[tuple[UsageKey, Amounts], ...]
 
 
 class Batch(NamedTuple):
+    """A batch: its number, the hash of the batch before, and the encoded body."""
+
     number: int
     before: bytes
     body: bytes
 
     @property
     def hash(self) -> bytes:
+        """Hash over this batch and, through `before`, all earlier ones."""
         return sha256(self.before + self.body).digest()
 
 
 class Hello(NamedTuple):
+    """First message of an exporter: name of the app server, ID of its journal, number of its last batch."""
+
     name: str
     book: bytes
     last: int
 
 
 class Welcome(NamedTuple):
+    """Answer to a hello: ID of the receiver, number and hash of the last batch stored without a gap."""
+
     receiver: bytes
     high: int
     hash: bytes
 
 
-class Taken(NamedTuple):
+class Acknowledgement(NamedTuple):
+    """All batches up to `high` are stored; `hash` is that of the last one."""
+
     high: int
     hash: bytes
 
 
-class Refused(NamedTuple):
+class Rejection(NamedTuple):
+    """The receiver rejects the sender or a batch; the export halts."""
+
     why: str
 
 
-Say = Hello | Welcome | Batch | Taken | Refused
+Message = Hello | Welcome | Batch | Acknowledgement | Rejection
 
 
-def body(what: Body) -> bytes:
-    told = pb.Body(
-        number=what.number, period=what.period, version=what.version, part=what.part, parts=what.parts,
-        length=what.length)  # fmt: skip
-    for line, amounts in what.rows:
-        told.rows.add(**line._asdict(), **amounts._asdict())
-    encoded: bytes = told.SerializeToString(deterministic=True)
+def encode_body(body: BatchBody) -> bytes:
+    """Encode the body of a batch; the same body always gives the same bytes, because it is hashed."""
+    message = pb.Body(
+        number=body.number, period=body.period, version=body.version, part=body.part, parts=body.parts,
+        length=body.length)  # fmt: skip
+    for key, amounts in body.rows:
+        message.rows.add(**key._asdict(), **amounts._asdict())
+    encoded: bytes = message.SerializeToString(deterministic=True)
     return encoded
 
 
-def read_body(data: bytes) -> Body:
+def decode_body(data: bytes) -> BatchBody:
+    """Decode the body of a batch."""
     try:
-        told = pb.Body.FromString(data)
+        decoded = pb.Body.FromString(data)
         rows = tuple(
-            (Line(row.tenant, row.type, Kind(row.kind), row.corrects, row.who, row.why),
+            (UsageKey(row.tenant, row.type, Kind(row.kind), row.corrects, row.who, row.why),
              Amounts(row.ops, row.run, row.calls, row.importance, row.octets))
-            for row in told.rows
+            for row in decoded.rows
         )  # fmt: skip
     except (DecodeError, ValueError) as error:
-        raise BadSay(f"a body can't be read: {error}") from None
-    return Body(told.number, told.period, told.version, told.part, told.parts, told.length, rows)
+        raise ProtocolError(f"a body can't be read: {error}") from None
+    return BatchBody(
+        decoded.number, decoded.period, decoded.version, decoded.part, decoded.parts, decoded.length, rows
+    )
 
 
-def parts(rows: Iterable[tuple[Line, Amounts]]) -> list[tuple[tuple[Line, Amounts], ...]]:
-    """Rows in an order of their own, cut in parts; an empty period is one empty part."""
+def split_rows(rows: Iterable[tuple[UsageKey, Amounts]]) -> list[tuple[tuple[UsageKey, Amounts], ...]]:
+    """Sort rows and split them for batches; no rows make one empty part."""
     ordered = sorted(rows)
-    return [tuple(ordered[at : at + ROWS]) for at in range(0, len(ordered), ROWS)] or [()]
+    return [
+        tuple(ordered[first : first + MAX_ROWS_PER_BATCH])
+        for first in range(0, len(ordered), MAX_ROWS_PER_BATCH)
+    ] or [()]
 
 
-FORMS: dict[type, tuple[str, type]] = {
+PROTOBUF_TYPES: dict[type, tuple[str, type]] = {
     Hello: ("hello", pb.Hello), Welcome: ("welcome", pb.Welcome), Batch: ("batch", pb.Batch),
-    Taken: ("taken", pb.Taken), Refused: ("refused", pb.Refused),
+    Acknowledgement: ("taken", pb.Taken), Rejection: ("refused", pb.Refused),
 }  # fmt: skip
 
 
-def encode(what: Say) -> bytes:
-    name, form = FORMS[type(what)]
-    data: bytes = pb.Say(**{name: form(**what._asdict())}).SerializeToString(deterministic=True)
-    assert len(data) <= MOST
+def encode(message: Message) -> bytes:
+    """Encode a message with its length prefix of four bytes."""
+    name, protobuf_type = PROTOBUF_TYPES[type(message)]
+    data: bytes = pb.Say(**{name: protobuf_type(**message._asdict())}).SerializeToString(deterministic=True)
+    assert len(data) <= MAX_MESSAGE_BYTES
     return len(data).to_bytes(4, "big") + data
 
 
-def decode(data: bytes) -> Say:
+def decode(data: bytes) -> Message:
+    """Decode a message without its length prefix."""
     try:
-        told = pb.Say.FromString(data)
+        decoded = pb.Say.FromString(data)
     except DecodeError as error:
-        raise BadSay(f"a message can't be read: {error}") from None
-    match told.WhichOneof("what"):
+        raise ProtocolError(f"message is not valid protobuf: {error}") from None
+    match decoded.WhichOneof("what"):
         case "hello":
-            return Hello(told.hello.name, told.hello.book, told.hello.last)
+            return Hello(decoded.hello.name, decoded.hello.book, decoded.hello.last)
         case "welcome":
-            return Welcome(told.welcome.receiver, told.welcome.high, told.welcome.hash)
+            return Welcome(decoded.welcome.receiver, decoded.welcome.high, decoded.welcome.hash)
         case "batch":
-            return Batch(told.batch.number, told.batch.before, told.batch.body)
+            return Batch(decoded.batch.number, decoded.batch.before, decoded.batch.body)
         case "taken":
-            return Taken(told.taken.high, told.taken.hash)
+            return Acknowledgement(decoded.taken.high, decoded.taken.hash)
         case "refused":
-            return Refused(told.refused.why)
-    raise BadSay("a message that says nothing")
+            return Rejection(decoded.refused.why)
+    raise ProtocolError("message without content; expected hello, welcome, batch, taken or refused")
 
 
-class Reader:
-    """Bytes of a connection to messages. Holds at most one that is not yet whole."""
+class FrameReader:
+    """Splits received bytes into messages; buffers at most one incomplete message."""
 
     def __init__(self) -> None:
-        self.rest = bytearray()
-
-    def feed(self, data: bytes) -> Iterator[Say]:
-        self.rest += data
-        while len(self.rest) >= 4:
-            size = int.from_bytes(self.rest[:4], "big")
-            if size > MOST:
-                raise BadSay(f"a message of {size} octets")
-            if len(self.rest) < 4 + size:
+        self.buffer = bytearray()
+
+    def feed(self, data: bytes) -> Iterator[Message]:
+        """Add received bytes and return the complete messages."""
+        self.buffer += data
+        while len(self.buffer) >= 4:
+            size = int.from_bytes(self.buffer[:4], "big")
+            if size > MAX_MESSAGE_BYTES:
+                raise ProtocolError(f"message of {size} bytes, at most {MAX_MESSAGE_BYTES} are allowed")
+            if len(self.buffer) < 4 + size:
                 return
-            data = bytes(self.rest[4 : 4 + size])
-            del self.rest[: 4 + size]
+            data = bytes(self.buffer[4 : 4 + size])
+            del self.buffer[: 4 + size]
             yield decode(data)
