--- a/benchmarks/bgp.py
+++ b/benchmarks/bgp.py
@@ -1,8 +1,7 @@
-"""What announcing costs: from decision to wire, an op, a session, received paths. `python -m
-benchmarks.bgp`.
+"""Benchmark of BGP: time from decision to wire, CPU per request, memory per session, received paths.
 
-One table, and JSON lines with `--json`. Servers are processes of their own, as in service (`-O`); times are
-this machine's, so quote the ratios. A quiet machine is needed, some two minutes of it.
+`python -m benchmarks.bgp` prints a table, or JSON lines with `--json`. Servers run as separate processes, as
+in service (`-O`). Times depend on the machine; compare the ratios. Takes two minutes on an idle machine.
 """
 
 from __future__ import annotations
@@ -25,8 +24,8 @@
 from fakes.bgp import BgpPeer
 from fakes.fleet import ADDRESS, Fleet, Instance, free_port
 from thymeyoke.bgp import wire
-from thymeyoke.bgp.presentation import Shown
-from thymeyoke.bgp.session import Event, Mine, Session
+from thymeyoke.bgp.presentation import ReceivedPaths
+from thymeyoke.bgp.session import Event, LocalParameters, Session
 from thymeyoke.bgp.wire import IPV4, Attribute, Nlri
 
 SECOND = "203.0.113.7/32"
@@ -35,13 +34,13 @@
 
 
 def cpu(pid: int) -> float:
-    """Seconds that a process has used."""
+    """Return the CPU seconds that a process has used."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
 def rss(pid: int) -> int:
-    """KiB."""
+    """Return the resident memory of a process in KiB."""
     text = Path(f"/proc/{pid}/status").read_text()
     return int(text.split("VmRSS:")[1].split()[0])
 
@@ -69,7 +68,7 @@
 
 
 async def ops(one: Instance, tasks: Any, many: int) -> None:
-    """A closed loop: AT_ONCE ops are out at any time."""
+    """Send requests in a closed loop, AT_ONCE in flight."""
     router = await Router.connect(tasks, "127.0.0.1", one.port)
     out: list[int] = []
     for _ in range(many):
@@ -82,9 +81,9 @@
 
 
 async def an_op(rows: list[dict[str, Any]]) -> None:
-    """CPU of the server for an op, and its memory, by the number of peers."""
+    """Measure CPU per request and memory by the number of peers."""
     costs: dict[int, list[float]] = {0: [], 2: [], 16: []}
-    many = 256  # for the memory alone: few fit into what the start left free
+    many = 256  # for memory only: fewer would fit into memory freed after the start
     memory: dict[int, list[int]] = {}
     for _ in range(3):
         for peers in (*costs, many):
@@ -117,7 +116,7 @@
 
 
 async def to_the_wire(rows: list[dict[str, Any]]) -> None:
-    """From the moment a level is decided (the server's log) until the peer has read the UPDATE."""
+    """Measure the time from a level's change in the server's log until the peer has read the UPDATE."""
     for loaded in (False, True):
         async with anyio.create_task_group() as tasks:
             fleet, (peer,) = await one_server(1, tasks, changes=60, settle=30)
@@ -166,45 +165,44 @@
 
 
 def received(rows: list[dict[str, Any]]) -> None:
-    """10,000 paths of others taken and dropped again; and as many to our own address, of which few are
-    kept."""
+    """Measure adding and removing 10,000 paths of others, and as many to our own address."""
     from ipaddress import ip_network
 
-    mine = Mine(64512, bytes((192, 0, 2, 1)), 64500, 3, (IPV4,))
-    theirs = Mine(64500, bytes((192, 0, 2, 9)), 64512, 3, (IPV4,)).open()
-    told = (Attribute(0x40, 1, b"\0"), Attribute(0x40, 2, b"\2\1" + (64500).to_bytes(4, "big")),
+    local = LocalParameters(64512, bytes((192, 0, 2, 1)), 64500, 3, (IPV4,))
+    peer_open = LocalParameters(64500, bytes((192, 0, 2, 9)), 64512, 3, (IPV4,)).open()
+    attributes = (Attribute(0x40, 1, b"\0"), Attribute(0x40, 2, b"\2\1" + (64500).to_bytes(4, "big")),
             Attribute(0x40, 3, bytes((192, 0, 2, 9))))  # fmt: skip
     foreign = [Nlri(32, at.to_bytes(4, "big")) for at in range(10 << 24, (10 << 24) + PATHS)]
     own = [Nlri(32, ip_network(ADDRESS).network_address.packed, at) for at in range(PATHS)]
     base = 0.0
     for name, many in (("others' prefixes", foreign), ("one address of ours", own)):
         paths = many is own
-        agreed = wire.Agreed(
-            True, families=frozenset((IPV4,)), paths=frozenset((IPV4,)) if paths else frozenset()
+        negotiated = wire.NegotiatedOptions(
+            True, families=frozenset((IPV4,)), add_path_families=frozenset((IPV4,)) if paths else frozenset()
         )
-        data = b"".join(wire.encode(wire.Update((), told, tuple(many[at : at + 200])), agreed)
+        data = b"".join(wire.encode(wire.Update((), attributes, tuple(many[at : at + 200])), negotiated)
                         for at in range(0, PATHS, 200))  # fmt: skip
-        data += b"".join(wire.encode(wire.Update(tuple(many[at : at + 200])), agreed)
+        data += b"".join(wire.encode(wire.Update(tuple(many[at : at + 200])), negotiated)
                          for at in range(0, PATHS, 200))  # fmt: skip
         spans = []
         for measured in (False, False, False, True):
-            session, shown, reader = (
-                Session(mine, Random(1)),
-                Shown(64512, [], 1000, [ip_network(ADDRESS)]),
-                wire.Reader(),
+            session, received_paths, reader = (
+                Session(local, Random(1)),
+                ReceivedPaths(64512, [], 1000, [ip_network(ADDRESS)]),
+                wire.MessageReader(),
             )
-            session.hear(0.0, Event.START)
-            session.hear(0.0, Event.TCP_UP)
-            session.take(0.0, theirs)
-            session.take(0.0, wire.Keepalive())
-            session.agreed = reader.agreed = agreed
+            session.handle_event(0.0, Event.START)
+            session.handle_event(0.0, Event.TCP_UP)
+            session.receive(0.0, peer_open)
+            session.receive(0.0, wire.Keepalive())
+            session.negotiated = reader.negotiated = negotiated
             if measured:
                 tracemalloc.start()
             began = time.perf_counter()
             for at in range(0, len(data), 1 << 14):
                 for message in reader.feed(data[at : at + (1 << 14)]):
-                    for action in session.take(0.0, message):
-                        shown.heard("p", action.heard)  # type: ignore[union-attr]
+                    for action in session.receive(0.0, message):
+                        received_paths.receive_update("p", action.update)  # type: ignore[union-attr]
             if measured:
                 held, peak = tracemalloc.get_traced_memory()
                 tracemalloc.stop()
--- a/fakes/bgp.py
+++ b/fakes/bgp.py
@@ -1,8 +1,8 @@
-"""A BGP peer with a table of routes, and a router that follows it. Written from RFC 4271 and its kin.
+"""Fake BGP peer with a routing table, and a router that follows it; from RFC 4271 and related RFCs.
 
-The peer listens, holds what each client announces for as long as that client's session and hold time last,
-and shows each client the others' paths (ADD-PATH, as a route server). `fault` names what it does wrong;
-each is one that a test asks for. `log` keeps what happened to each route, with the moment.
+The peer accepts connections, keeps the routes of each client during its session and hold time, and sends each
+client the others' paths (ADD-PATH, like a route server). `fault` selects how it misbehaves. `log` records
+what happened to each route.
 """
 
 from __future__ import annotations
@@ -18,8 +18,8 @@
 from examples.fakes import LOST, StandIn
 from thymeyoke.bgp import attributes, wire
 from thymeyoke.bgp.attributes import Path
-from thymeyoke.bgp.presentation import full, who
-from thymeyoke.bgp.wire import IPV4, IPV6, Cap, Capability, Code, Family, Nlri
+from thymeyoke.bgp.presentation import announcer_of, is_preferred
+from thymeyoke.bgp.wire import IPV4, IPV6, Capability, CapabilityCode, ErrorCode, Family, Nlri
 
 FAULTS = frozenset((
     "", "silent", "wrong-as", "hold-1", "hold-0", "bad-id", "half", "length-18", "length-65535", "garbage",
@@ -38,13 +38,13 @@
 
 
 class Client:
-    """A session's side at the peer."""
+    """The peer's side of a session."""
 
     def __init__(self, number: int, stream: SocketStream) -> None:
-        self.number, self.stream, self.agreed = number, stream, wire.Agreed()
+        self.number, self.stream, self.negotiated = number, stream, wire.NegotiatedOptions()
         self.open: wire.Open | None = None
         self.routes: dict[tuple[Family, Nlri], Path] = {}
-        self.shown: dict[tuple[Family, Nlri], Path] = {}  # of others, to this client
+        self.shown: dict[tuple[Family, Nlri], Path] = {}  # paths of others sent to this client
         self.heard_at = time.time()
         self.lock = anyio.Lock()
 
@@ -61,22 +61,24 @@
         self.delay, self.reflects = delay, reflects
         self.clients: dict[int, Client] = {}
         self.log: list[Seen] = []
-        self.notes: list[wire.Notification] = []  # NOTIFICATIONs heard
-        self.messages: list[wire.Message] = []  # the last ones heard
+        self.notes: list[wire.Notification] = []  # NOTIFICATIONs received
+        self.messages: list[wire.Message] = []  # the last ones received
         self.updates = 0
         self.connections = 0
         self.connected_at: list[float] = []
         self.reading = anyio.Event()
         self.reading.set()
-        self.gates: dict[str, anyio.Event] = {}  # "open" (of the first), "keepalive": held till set
-        self.extra: Callable[[Client], list[wire.Message | bytes]] = lambda client: []  # said once it is up
+        self.gates: dict[str, anyio.Event] = {}  # delay "open" (of the first connection) or "keepalive"
+        self.extra: Callable[[Client], list[wire.Message | bytes]] = (
+            lambda client: []
+        )  # sent once the session is established
 
-    # What a test asks.
+    # State for tests.
 
     def routes(self) -> dict[tuple[bytes, Nlri], bool]:
-        """Whose route to what, and whether in full."""
+        """Return whose route to which prefix, and whether it is preferred."""
         return {
-            (who(path, self.client_as), nlri): full(path, 1)
+            (announcer_of(path, self.client_as), nlri): is_preferred(path, 1)
             for client in self.clients.values()
             for (_, nlri), path in client.routes.items()
         }
@@ -110,7 +112,7 @@
         async with anyio.create_task_group() as tasks:
             try:
                 tasks.start_soon(self._expire, client, tasks)
-                with suppress(*LOST, wire.Wrong):
+                with suppress(*LOST, wire.ProtocolError):
                     await self._hear(client, tasks)
             finally:
                 self._lose(client)
@@ -118,14 +120,16 @@
 
     def _open(self) -> wire.Open:
         families = (IPV4, IPV6)
-        caps = [Capability(Cap.MULTIPROTOCOL, bytes((0, f.afi, 0, f.safi))) for f in families]
+        caps = [Capability(CapabilityCode.MULTIPROTOCOL, bytes((0, f.afi, 0, f.safi))) for f in families]
         caps += [Capability(code, b"") for code in (2, 6, 70)]
-        caps += [Capability(Cap.AS4, self.as_.to_bytes(4, "big"))]
-        caps += [Capability(Cap.ADD_PATH, b"".join(bytes((0, f.afi, f.safi, 2)) for f in families))]
+        caps += [Capability(CapabilityCode.AS4, self.as_.to_bytes(4, "big"))]
+        caps += [
+            Capability(CapabilityCode.ADD_PATH, b"".join(bytes((0, f.afi, f.safi, 2)) for f in families))
+        ]
         open_ = wire.Open(min(self.as_, 0xFFFF), self.hold, self.id, tuple(caps))
         match self.fault:
             case "wrong-as":
-                return open_._replace(as2=65000, capabilities=())
+                return open_._replace(two_byte_as=65000, capabilities=())
             case "hold-1" | "hold-0":
                 return open_._replace(hold=int(self.fault[5:]))
             case "bad-id":
@@ -133,7 +137,7 @@
         return open_
 
     async def _hear(self, client: Client, tasks: Any) -> None:
-        reader = wire.Reader()
+        reader = wire.MessageReader()
         while True:
             await self.reading.wait()
             data = await client.stream.receive()
@@ -141,14 +145,16 @@
                 client.heard_at = time.time()
                 self.messages = [*self.messages[-63:], message]
                 await self._take(client, message, tasks)
-                reader.agreed = client.agreed
+                reader.negotiated = client.negotiated
             self._changes()
 
     async def _take(self, client: Client, message: wire.Message, tasks: Any) -> None:
         match message:
             case wire.Open():
                 client.open = message
-                client.agreed = wire.agree(self._open(), message)._replace(paths=frozenset())
+                client.negotiated = wire.negotiate(self._open(), message)._replace(
+                    add_path_families=frozenset()
+                )
                 self.clients[client.number] = client
                 if "keepalive" in self.gates:
                     await self.gates["keepalive"].wait()
@@ -164,7 +170,7 @@
                 await self._show()
             case wire.Update():
                 self.updates += 1
-                heard = attributes.understand(message, client.agreed, self.as_ == self.client_as)
+                heard = attributes.interpret_update(message, client.negotiated, self.as_ == self.client_as)
                 self._record(client, heard)
                 tasks.start_soon(self._later)
             case wire.Notification():
@@ -174,17 +180,19 @@
     def ups(self) -> set[int]:
         return self.__dict__.setdefault("_ups", set())
 
-    def _record(self, client: Client, heard: attributes.Heard) -> None:
+    def _record(self, client: Client, heard: attributes.ReceivedUpdate) -> None:
         for key in heard.withdrawn:
             if path := client.routes.pop(key, None):
                 self._log("withdraw", path, key)
-        for key in heard.reached:
+        for key in heard.advertised:
             assert heard.path is not None
             client.routes[key] = heard.path
             self._log("announce", heard.path, key)
 
     def _log(self, what: str, path: Path, key: tuple[Family, Nlri]) -> None:
-        self.log.append(Seen(time.time(), what, who(path, self.client_as), key[1], full(path, 1)))
+        self.log.append(
+            Seen(time.time(), what, announcer_of(path, self.client_as), key[1], is_preferred(path, 1))
+        )
 
     def _lose(self, client: Client) -> None:
         for key, path in client.routes.items():
@@ -195,13 +203,13 @@
         self._changes()
 
     async def _expire(self, client: Client, tasks: Any) -> None:
-        """The hold time: a client that says nothing for so long is gone, with all its routes."""
+        """Remove a client and its routes when its hold time has expired."""
         while True:
             hold = min(self.hold, client.open.hold) if client.open else 4 * self.hold
             left = client.heard_at + hold - time.time()
             if left <= 0 and self.reading.is_set():
                 with anyio.move_on_after(0.05):
-                    await self._say(client, wire.Notification(Code.HOLD))
+                    await self._say(client, wire.Notification(ErrorCode.HOLD))
                 tasks.cancel_scope.cancel()
                 return
             await anyio.sleep(max(0.01, left))
@@ -215,22 +223,22 @@
         with suppress(*LOST, OSError):
             async with client.lock:
                 await client.stream.send(
-                    message if isinstance(message, bytes) else wire.encode(message, client.agreed)
+                    message if isinstance(message, bytes) else wire.encode(message, client.negotiated)
                 )
 
-    # What others announce.
+    # Passing on paths.
 
     async def _later(self) -> None:
         await anyio.sleep(self.delay)
         await self._show()
 
     async def _show(self) -> None:
-        """Bring each client to what the others announce now, each other's path under its own identifier."""
+        """Send each client the current paths of the others, with one path ID for each of them."""
         for client in list(self.clients.values()):
             if not self.reflects or client.number not in self.ups:
                 continue
             wanted = {
-                (family, nlri._replace(path=other.number)): path
+                (family, nlri._replace(path_id=other.number)): path
                 for other in self.clients.values() if other is not client
                 for (family, nlri), path in other.routes.items()
             }  # fmt: skip
@@ -243,7 +251,7 @@
 
 
 def _told(as_: int, path: Path, nlri: Nlri, family: Family) -> wire.Update:
-    """A path passed on, with this peer's AS in front."""
+    """Build an update that passes on a path, with this peer's AS prepended."""
     numbers = (as_, *(number for _, many in path.as_path for number in many))
     told = [wire.Attribute(0x40, 1, b"\0"), wire.Attribute(0x40, 2, bytes((2, len(numbers))) + b"".join(
         number.to_bytes(4, "big") for number in numbers))]  # fmt: skip
@@ -251,11 +259,11 @@
         told.append(wire.Attribute(0x80, 4, path.med.to_bytes(4, "big")))
     if path.communities:
         told.append(wire.Attribute(0xC0, 8, b"".join(one.to_bytes(4, "big") for one in path.communities)))
-    if path.large:
-        rows = b"".join(part.to_bytes(4, "big") for row in path.large for part in row)
+    if path.large_communities:
+        rows = b"".join(part.to_bytes(4, "big") for row in path.large_communities for part in row)
         told.append(wire.Attribute(0xC0, 32, rows))
     if family == IPV4:
         told.insert(2, wire.Attribute(0x40, 3, path.next_hop))
         return wire.Update(attributes=tuple(told), nlri=(nlri,))
     head = bytes((0, family.afi, family.safi, len(path.next_hop))) + path.next_hop + b"\0"
-    return wire.Update(attributes=(wire.Attribute(0x80, 14, head + wire.prefix(nlri)), *told))
+    return wire.Update(attributes=(wire.Attribute(0x80, 14, head + wire.encode_prefix(nlri)), *told))
--- a/tests/characterization/test_codecs.py
+++ b/tests/characterization/test_codecs.py
@@ -48,7 +48,7 @@
     bgp.Update: "update",
     bgp.Notification: "notification",
     bgp.Keepalive: "keepalive",
-    bgp.Refresh: "refresh",
+    bgp.RouteRefresh: "refresh",
     ledger.Hello: "hello",
     ledger.Welcome: "welcome",
     ledger.Batch: "batch",
@@ -293,8 +293,11 @@
 
 
 class BgpWire(unittest.TestCase):
-    agreed = bgp.Agreed(
-        as4=True, extended=True, families=frozenset((bgp.IPV4, bgp.IPV6)), paths=frozenset((bgp.IPV4,))
+    agreed = bgp.NegotiatedOptions(
+        four_byte_as=True,
+        extended_messages=True,
+        families=frozenset((bgp.IPV4, bgp.IPV6)),
+        add_path_families=frozenset((bgp.IPV4,)),
     )
 
     def messages(self) -> list[Any]:
@@ -316,16 +319,16 @@
             bgp.Open(64512, 3, b"\xc0\0\2\1"),
             bgp.Open(64512, 3, b"\xc0\0\2\1", tuple(bgp.Capability(200, bytes(100)) for _ in range(3))),
             bgp.Keepalive(),
-            bgp.Refresh(bgp.IPV6, 1),
+            bgp.RouteRefresh(bgp.IPV6, 1),
             bgp.Notification(6, 2, b"\3bye"),
-            bgp.shutdown("wartung " * 40),
+            bgp.shutdown_notification("wartung " * 40),
             bgp.Update(),
         ]
-        for agreed in (bgp.Agreed(), self.agreed):
+        for agreed in (bgp.NegotiatedOptions(), self.agreed):
             for route in routes:
-                told.append(attributes.announcement(route, (bgp.Nlri(32, net4),), bgp.IPV4, agreed))
+                told.append(attributes.advertisement(route, (bgp.Nlri(32, net4),), bgp.IPV4, agreed))
             told.append(
-                attributes.announcement(
+                attributes.advertisement(
                     routes[0]._replace(next_hop=net6), (bgp.Nlri(128, net6),), bgp.IPV6, agreed
                 )
             )
@@ -338,9 +341,9 @@
         found = []
         for message in self.messages():
             data = bgp.encode(message, self.agreed)
-            for agreed in (bgp.Agreed(), self.agreed):
-                reader = bgp.Reader()
-                reader.agreed = agreed
+            for agreed in (bgp.NegotiatedOptions(), self.agreed):
+                reader = bgp.MessageReader()
+                reader.negotiated = agreed
                 read = attempt(lambda r=reader, d=data: list(r.feed(d)))
                 found.append([shown(message), data.hex(), read])
         compare(self, "codecs/bgp", lines(found))
@@ -352,16 +355,16 @@
             data = bgp.encode(message)
             for at in range(len(data)):
                 damaged = data[:at] + bytes((data[at] ^ 0x55,)) + data[at + 1 :]
-                reader = bgp.Reader()
+                reader = bgp.MessageReader()
                 try:
                     said = list(reader.feed(damaged))
                     heard = [
-                        shown(attributes.understand(one, bgp.Agreed(), False))
+                        shown(attributes.interpret_update(one, bgp.NegotiatedOptions(), False))
                         for one in said
                         if isinstance(one, bgp.Update)
                     ]
                     found.append([shown(said), heard])
-                except bgp.Wrong as error:
+                except bgp.ProtocolError as error:
                     found.append(["error", error.code, error.subcode, error.data.hex()])
                 except IndexError:
                     found.append(["index"])
--- a/tests/test_bgp.py
+++ b/tests/test_bgp.py
@@ -1,4 +1,4 @@
-"""Service addresses over BGP on sockets: a server with stand-in peers, and what each of them may do wrong."""
+"""Tests of service addresses over BGP on sockets: a server with fake peers, and how peers may misbehave."""
 
 from __future__ import annotations
 
@@ -25,17 +25,17 @@
 from fakes.processes import Spent
 from tests.app_server import MAX_LOST_SECONDS, RunningServer, retried, running_server, until
 from thymeyoke.__main__ import main
-from thymeyoke.bgp import peer_connection as speaker_module
+from thymeyoke.bgp import peer_connection as peer_connection_module
 from thymeyoke.bgp import tcp, wire
 from thymeyoke.bgp.advertiser import Advertiser
 from thymeyoke.bgp.configuration import Announce, Peer
-from thymeyoke.bgp.presentation import nlri
+from thymeyoke.bgp.presentation import to_nlri
 from thymeyoke.bgp.session import State, Timer
-from thymeyoke.bgp.wire import Refresh
+from thymeyoke.bgp.wire import RouteRefresh
 from thymeyoke.configuration import service_config
 from thymeyoke.configuration.service_config import HostPort
 from thymeyoke.runtime import logs, status_socket
-from thymeyoke.runtime.clock import clock as speaker_clock
+from thymeyoke.runtime.clock import clock as peer_connection_clock
 from thymeyoke.runtime.extensions import HostConfigurationError
 from thymeyoke.server import dispatcher, lifecycle
 
@@ -44,8 +44,8 @@
 GRACE = {"settings__contract__drain_grace_us": 2_000_000, "stop_ms": 5000}
 
 
-class File:
-    """The operators' file of a test, written anew as the test goes."""
+class ServiceFile:
+    """The service configuration of a test, written again before each read."""
 
     def __init__(self, **options: Any) -> None:
         self.options = {
@@ -76,8 +76,10 @@
 
 
 @asynccontextmanager
-async def around(file: File, *peers: BgpPeer, **changed: Any) -> AsyncIterator[RunningServer]:
-    """A server with stand-in peers, by the names p0, p1 and so on."""
+async def server_with_peers(
+    file: ServiceFile, *peers: BgpPeer, **changed: Any
+) -> AsyncIterator[RunningServer]:
+    """Run a server with fake peers named p0, p1 and so on."""
     logs.counters.clear()
     try:
         async with anyio.create_task_group() as tasks:
@@ -100,7 +102,7 @@
         file.path.unlink(missing_ok=True)
 
 
-def announcer(here: RunningServer) -> Advertiser:
+def advertiser_of(here: RunningServer) -> Advertiser:
     (side,) = here.dispatcher.extensions.extensions
     assert isinstance(side, Advertiser)
     return side
@@ -117,12 +119,16 @@
 
 @retried
 class OnSockets(unittest.TestCase):
-    def test_a_life(self) -> None:
-        """Less preferred, in full, and in a drain less preferred again, then withdrawn, then the door."""
+    def test_levels_from_start_to_drain(self) -> None:
+        """The address is advertised as less preferred, then preferred; in a drain less preferred, then
+        withdrawn.
+
+        The withdrawal comes before the listener closes.
+        """
 
         async def run() -> None:
             peer = BgpPeer()
-            async with around(File(), peer, **GRACE) as here:
+            async with server_with_peers(ServiceFile(), peer, **GRACE) as here:
                 await until(lambda: peer.levels(ME) == {True})
                 self.assertEqual([seen.full for seen in peer.log], [False, False, True, True])
                 router, spent = await here.router(), Spent()
@@ -132,7 +138,7 @@
                 self.assertEqual(last, [("announce", False)] * 2 + [("withdraw", False)] * 2)
                 for seen, low, high in ((peer.log[4], 0, 0.2), (peer.log[6], 0.4, 0.8)):
                     self.assertTrue(low <= seen.at - began <= high + taken, (seen.at - began, taken))
-                self.assertEqual(router.notices, [])  # the door is open still, and ops are taken
+                self.assertEqual(router.notices, [])  # the listener is still open and requests are accepted
                 self.assertIsNone((await router.answer(await router.ask("look")))[0])
                 await here.ended.wait()
                 self.assertGreater(time.time() - began, 1.9)
@@ -143,7 +149,8 @@
         anyio.run(run)
 
     def test_every_bad_peer_at_once(self) -> None:
-        """Each ends its own session with the right name; two good ones and the ops do not notice."""
+        """Each bad peer ends its own session with the right error; two good peers and the requests are not
+        affected."""
         faults = {
             "silent": "hold timer expired", "wrong-as": "bad peer AS", "hold-1": "unacceptable hold time",
             "hold-0": "unacceptable hold time", "bad-id": "bad BGP identifier", "half": "hold timer expired",
@@ -166,19 +173,21 @@
             flood = wire.encode(wire.Update(withdrawn=tuple(nlri_of(at) for at in range(400))))
             bad["flood"].extra = lambda client: [flood * 1200]
             good = [BgpPeer(), BgpPeer(fault="stalled")]
-            async with around(File(), *good, *bad.values()) as here:
+            async with server_with_peers(ServiceFile(), *good, *bad.values()) as here:
                 await until(lambda: good[0].levels(ME) == {True})
                 router, took, acked, whole = await here.router(), [], 0, Spent()
                 names = dict(zip(faults, [f"p{at + 2}" for at in range(len(faults))], strict=True))
-                speakers = announcer(here).speakers
+                peer_connections = advertiser_of(here).peer_connections
 
                 def said() -> dict[str, str]:
-                    return {fault: speakers[name].main.session.error for fault, name in names.items()}
+                    return {
+                        fault: peer_connections[name].primary.session.error for fault, name in names.items()
+                    }
 
                 while said() != faults:
                     spent = Spent()
                     error, _ = await router.answer(await router.ask("look"))
-                    # An op that the machine held up teaches the program a long run: the next may be nacked.
+                    # A request that the machine delayed counts as a long run: the next may be rejected.
                     self.assertTrue(error is None or whole.taken() >= MAX_LOST_SECONDS, error)
                     acked += error is None
                     took.append(spent.seconds())
@@ -189,51 +198,55 @@
                 for fault, code in answered.items():
                     self.assertIn(code, {note.code for note in bad[fault].notes}, fault)
                 self.assertEqual(good[0].levels(ME), {True})
-                self.assertEqual([speakers[name].main.session.flaps for name in ("p0", "p1")], [0, 0])
+                self.assertEqual(
+                    [peer_connections[name].primary.session.flaps for name in ("p0", "p1")], [0, 0]
+                )
                 self.assertEqual(
                     (logs.counters["connection_errors"], logs.counters["announce_error"]), (0, 0)
                 )
 
         anyio.run(run)
 
-    def test_an_update_that_counts_as_a_withdrawal(self) -> None:
-        """RFC 7606: the session stays, the path goes."""
+    def test_an_update_treated_as_withdrawal(self) -> None:
+        """RFC 7606: the session continues, the path is removed."""
 
         async def run() -> None:
             peer = BgpPeer(reflects=False)
-            path = nlri(ip_network(ONE))._replace(path=1)
+            path = to_nlri(ip_network(ONE))._replace(path_id=1)
             attributes = (wire.Attribute(0x40, 1, b"\0"), wire.Attribute(0x40, 2, b""),
                           wire.Attribute(0x40, 3, bytes(4)))  # fmt: skip
             good = wire.Update((), attributes, (path,))
             bad = wire.Update((), (*attributes, wire.Attribute(0xC0, 8, b"\1")), (path,))
-            async with around(File(), peer) as here:
+            async with server_with_peers(ServiceFile(), peer) as here:
                 await until(lambda: peer.levels(ME) == {True})
                 (client,) = peer.clients.values()
-                shown = announcer(here).shown
+                received_paths = advertiser_of(here).received_paths
                 await peer._say(client, good)
-                await until(lambda: shown.others(ip_network(ONE)) == 1)
+                await until(lambda: received_paths.count_others(ip_network(ONE)) == 1)
                 await peer._say(client, bad)
-                await until(lambda: shown.others(ip_network(ONE)) == 0)
+                await until(lambda: received_paths.count_others(ip_network(ONE)) == 0)
                 self.assertEqual(logs.counters["announce_treated_as_withdrawn"], 1)
-                self.assertEqual(announcer(here).speakers["p0"].main.session.state, State.ESTABLISHED)
+                self.assertEqual(
+                    advertiser_of(here).peer_connections["p0"].primary.session.state, State.ESTABLISHED
+                )
 
         anyio.run(run)
 
-    def test_a_calm_session_is_left_alone(self) -> None:
-        """The speaker once woke itself for ever: a core went, and the server served all the same."""
+    def test_an_idle_session_does_not_wake_up(self) -> None:
+        """Guards against a busy loop: the peer connection once woke itself up continuously."""
 
         async def run() -> None:
             peer = BgpPeer()
-            async with around(File(), peer) as here:
+            async with server_with_peers(ServiceFile(), peer) as here:
                 await until(lambda: peer.levels(ME) == {True})
-                side = announcer(here)
-                talk = side.speakers["p0"].main
+                side = advertiser_of(here)
+                connection = side.peer_connections["p0"].primary
                 with (
-                    mock.patch.object(talk, "passed", wraps=talk.passed) as passed,
-                    mock.patch.object(side, "_settle", wraps=side._settle) as settled,
+                    mock.patch.object(connection, "advance", wraps=connection.advance) as advance,
+                    mock.patch.object(side, "_advance", wraps=side._advance) as settled,
                 ):
                     await anyio.sleep(1.5)
-                for counted in (passed.call_count, settled.call_count):
+                for counted in (advance.call_count, settled.call_count):
                     self.assertTrue(0 < counted < 30, counted)
 
         anyio.run(run)
@@ -241,78 +254,80 @@
     def test_a_refresh_is_answered(self) -> None:
         async def run() -> None:
             peer = BgpPeer()
-            async with around(File(), peer):
+            async with server_with_peers(ServiceFile(), peer):
                 await until(lambda: peer.levels(ME) == {True})
                 (client,) = peer.clients.values()
                 before = peer.updates
-                await peer._say(client, Refresh(wire.IPV6))
+                await peer._say(client, RouteRefresh(wire.IPV6))
                 await until(lambda: peer.updates == before + 1)
-                await until(lambda: len([m for m in peer.messages if isinstance(m, Refresh)]) == 2)
-                kinds = [m.kind if isinstance(m, Refresh) else 0 for m in peer.messages
+                await until(lambda: len([m for m in peer.messages if isinstance(m, RouteRefresh)]) == 2)
+                kinds = [m.subtype if isinstance(m, RouteRefresh) else 0 for m in peer.messages
                          if not isinstance(m, wire.Keepalive)]  # fmt: skip
                 self.assertEqual(kinds[-3:], [1, 0, 2])
 
         anyio.run(run)
 
-    def test_a_withdrawal_has_its_time_whatever_was_sent_before(self) -> None:
-        """An update goes out, is taken, and leaves the send hold timer set. Just before that is due a
-        withdrawal goes out: it has its own time, and no more than that. Moments, what is not yet taken at
-        each, and whether the session is there then."""
+    def test_a_withdrawal_has_its_own_timeout(self) -> None:
+        """A withdrawal has the whole withdrawal timeout, and not more.
+
+        An earlier update was acknowledged but its send hold timer is still set and about to expire. Each step
+        has a time, the unacknowledged bytes at it, and whether the session must still be up.
+        """
 
         async def run(moments: tuple[tuple[float, int, bool], ...]) -> None:
             peer = BgpPeer()
-            async with around(File(), peer) as here:
+            async with server_with_peers(ServiceFile(), peer) as here:
                 await until(lambda: peer.levels(ME) == {True})
-                speaker = announcer(here).speakers["p0"]
-                talk = speaker.main
-                left, now = 0, speaker_clock()
+                peer_connection = advertiser_of(here).peer_connections["p0"]
+                connection = peer_connection.primary
+                left, now = 0, peer_connection_clock()
                 with (
-                    mock.patch.object(tcp, "unacknowledged", lambda stream: left),
-                    mock.patch.object(speaker_module, "clock", lambda: now),
+                    mock.patch.object(tcp, "unacknowledged_bytes", lambda stream: left),
+                    mock.patch.object(peer_connection_module, "clock", lambda: now),
                 ):
-                    talk.session.unsent(now, False)
-                    talk._watch(50)
-                    self.assertAlmostEqual(talk.session.timers[Timer.SEND], now + 3.0)
-                    talk.session.timers[Timer.SEND] = now + 0.004  # nearly that long ago
-                    speaker.within, began = 0.25, now
-                    talk._watch(30)
+                    connection.session.update_send_hold(now, False)
+                    connection._start_send_hold(50)
+                    self.assertAlmostEqual(connection.session.timers[Timer.SEND], now + 3.0)
+                    connection.session.timers[Timer.SEND] = now + 0.004  # almost expired
+                    peer_connection.withdrawal_timeout, began = 0.25, now
+                    connection._start_send_hold(30)
                     for after, left, there in moments:  # noqa: B007 (read by `unacknowledged`)
                         now = began + after
-                        talk.passed(now)
-                        self.assertEqual(talk.session.state == State.ESTABLISHED, there, after)
+                        connection.advance(now)
+                        self.assertEqual(connection.session.state == State.ESTABLISHED, there, after)
 
         anyio.run(run, ((0.006, 30, True), (0.26, 0, True)))
         anyio.run(run, ((0.006, 30, True), (0.24, 30, True), (0.26, 30, False)))
 
     def test_a_full_window_while_a_withdrawal_must_leave(self) -> None:
-        """The peer's machine takes nothing any more: the connection is reset, which withdraws as well."""
+        """If the peer's receive window is full, the connection is reset, which withdraws the routes too."""
 
         async def run() -> None:
             many = ", ".join(f"198.51.100.{at}/32" for at in range(64))
             peer = BgpPeer()
-            file = File(addresses=many, next_hop=ME)
-            async with around(file, peer, **GRACE) as here:
+            file = ServiceFile(addresses=many, next_hop=ME)
+            async with server_with_peers(file, peer, **GRACE) as here:
                 await until(lambda: peer.levels(ME) == {True})
                 (client,) = peer.clients.values()
                 raw = client.stream.extra(SocketAttribute.raw_socket)
                 raw.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
                 peer.reading = anyio.Event()
-                talk = announcer(here).speakers["p0"].main
+                connection = advertiser_of(here).peer_connections["p0"].primary
                 still, was, turns = time.time(), 0, 0
                 while time.time() < still + 0.3 or turns < 50:
-                    await peer._say(client, Refresh(wire.IPV4))
+                    await peer._say(client, RouteRefresh(wire.IPV4))
                     await anyio.sleep(0.001)
                     turns += 1
-                    if talk.total != was:
-                        still, was, turns = time.time(), talk.total, 0
+                    if connection.bytes_written != was:
+                        still, was, turns = time.time(), connection.bytes_written, 0
                     self.assertLess(was, 1 << 22, "the window never fills")
-                assert talk.stream
-                self.assertGreater(tcp.unacknowledged(talk.stream), 0)
+                assert connection.stream
+                self.assertGreater(tcp.unacknowledged_bytes(connection.stream), 0)
                 spent = Spent()
                 term()
-                await until(lambda: talk.session.state != State.ESTABLISHED)
+                await until(lambda: connection.session.state != State.ESTABLISHED)
                 self.assertLess(spent.seconds(), 1.5)
-                self.assertIn(talk.session.error, ("send hold timer expired", "connection lost"))
+                self.assertIn(connection.session.error, ("send hold timer expired", "connection lost"))
                 peer.reading.set()
                 await until(lambda: not peer.routes())
                 self.assertLess(spent.seconds(), 2.0)
@@ -320,11 +335,13 @@
         anyio.run(run)
 
     def test_a_drain_with_the_loop_loaded_and_a_peer_that_hangs(self) -> None:
-        """The withdrawal lands before the door shuts, though each turn of the loop takes long."""
+        """The withdrawal arrives before the listener closes, even if the event loop is slow."""
 
         async def run() -> None:
             peer, hung = BgpPeer(), BgpPeer(fault="silent")
-            async with around(File(), hung, peer, processor=Processor(0.02, calls=0), **GRACE) as here:
+            async with server_with_peers(
+                ServiceFile(), hung, peer, processor=Processor(0.02, calls=0), **GRACE
+            ) as here:
                 await until(lambda: peer.levels(ME) == {True})
                 router = await here.router()
 
@@ -348,15 +365,15 @@
 
         anyio.run(run)
 
-    def test_sighup_takes_away_and_gives_back(self) -> None:
+    def test_sighup_removes_and_adds(self) -> None:
         async def run() -> None:
             first, second = BgpPeer(), BgpPeer()
-            file = File()
-            async with around(file, first, second) as here:
+            file = ServiceFile()
+            async with server_with_peers(file, first, second) as here:
                 await until(lambda: first.levels(ME) == second.levels(ME) == {True})
-                session = announcer(here).speakers["p0"].main.session
+                session = advertiser_of(here).peer_connections["p0"].primary.session
                 since = session.since
-                file.options["addresses"] = ONE  # an address, and with it a family
+                file.options["addresses"] = ONE  # removes an address, and with it a family
                 file.options["next_hop"] = ME
                 hup()
                 await until(lambda: len(first.routes()) == len(second.routes()) == 1)
@@ -366,7 +383,7 @@
                 await until(lambda: logs.counters["service_config_errors"] == 1)
                 file.options = good
                 self.assertEqual((len(first.routes()), first.levels(ME)), (1, {True}))
-                gone = file.peers.pop("p1")  # a peer
+                gone = file.peers.pop("p1")  # removes a peer
                 hup()
                 await until(lambda: not second.routes() and second.notes)
                 self.assertEqual(second.notes[-1].name, "peer de-configured")
@@ -374,7 +391,7 @@
                 file.peers["p1"] = gone
                 hup()
                 await until(lambda: second.levels(ME) == {True})
-                file.off = True  # all of it
+                file.off = True  # removes the section
                 hup()
                 await until(lambda: not first.routes() and not second.routes())
                 self.assertEqual(here.dispatcher.extensions.extensions, ())
@@ -382,7 +399,7 @@
                 file.off = False
                 hup()
                 await until(lambda: first.levels(ME) == second.levels(ME) == {True})
-                self.assertGreater(announcer(here).speakers["p0"].main.session.since, since)
+                self.assertGreater(advertiser_of(here).peer_connections["p0"].primary.session.since, since)
 
         anyio.run(run)
 
@@ -391,7 +408,9 @@
             peer = BgpPeer()
             cold = {"settings__contract__cold_us": 1_500_000}
             began = time.time()
-            async with around(File(), peer, processor=Processor(0.05, cold=True), **cold) as here:
+            async with server_with_peers(
+                ServiceFile(), peer, processor=Processor(0.05, cold=True), **cold
+            ) as here:
                 router = await here.router()
                 while peer.levels(ME) != {True}:
                     await router.ask("look")
@@ -401,54 +420,65 @@
 
         anyio.run(run)
 
-    def test_the_peer_comes(self) -> None:
-        """Passive: nothing is dialled, and who is not told of is turned away."""
+    def test_a_passive_peer(self) -> None:
+        """A passive peer is never connected to, and connections of others are rejected."""
 
         async def run() -> None:
-            peer, file = BgpPeer(), File(listen=f"127.0.0.1:{free_port()}")
+            peer, file = BgpPeer(), ServiceFile(listen=f"127.0.0.1:{free_port()}")
             file.peers["p0"] = {"passive": "true"}
-            async with around(file, peer) as here:
-                await until(lambda: announcer(here).speakers["p0"].main.session.state == State.ACTIVE)
+            async with server_with_peers(file, peer) as here:
+                await until(
+                    lambda: advertiser_of(here).peer_connections["p0"].primary.session.state == State.ACTIVE
+                )
                 await anyio.sleep(0.3)
                 self.assertEqual(
-                    (peer.connections, announcer(here).speakers["p0"].main.session.state), (0, State.ACTIVE)
+                    (peer.connections, advertiser_of(here).peer_connections["p0"].primary.session.state),
+                    (0, State.ACTIVE),
                 )
-                for _ in range(2):  # and again after its session was lost
+                for _ in range(2):  # the second time after a lost session
                     peer.tasks.start_soon(peer._serve, await connected(file.options["listen"]))
                     await until(lambda: peer.levels(ME) == {True})
-                    extra = await connected(file.options["listen"])  # one too many
+                    extra = await connected(file.options["listen"])  # not needed
                     with self.assertRaises((anyio.EndOfStream, anyio.BrokenResourceError)):
                         await extra.receive()
                     await extra.aclose()
                     await peer.cut()
-                    await until(lambda: announcer(here).speakers["p0"].main.session.state == State.ACTIVE)
+                    await until(
+                        lambda: (
+                            advertiser_of(here).peer_connections["p0"].primary.session.state == State.ACTIVE
+                        )
+                    )
                 self.assertEqual(logs.counters["announce_strangers"], 2)
 
         anyio.run(run)
 
     def test_both_connect_at_once(self) -> None:
-        """RFC 4271 section 6.8: of two connections one stays, whichever identifier is higher, whenever it
-        is told."""
+        """RFC 4271 section 6.8: one of two connections remains, whichever identifier is higher and whenever
+        it is known."""
 
         async def run(id_: str, early: bool) -> None:
-            peer, file = BgpPeer(id_=id_), File(listen=f"127.0.0.1:{free_port()}")
+            peer, file = BgpPeer(id_=id_), ServiceFile(listen=f"127.0.0.1:{free_port()}")
             peer.gates["open"] = anyio.Event()
-            if not early:  # both OPENs are in before either KEEPALIVE
+            if not early:  # both OPENs arrive before either KEEPALIVE
                 peer.gates["keepalive"] = anyio.Event()
-            async with around(file, peer) as here:
-                speaker = announcer(here).speakers["p0"]
-                await until(lambda: speaker.main.session.state == State.OPEN_SENT)
+            async with server_with_peers(file, peer) as here:
+                peer_connection = advertiser_of(here).peer_connections["p0"]
+                await until(lambda: peer_connection.primary.session.state == State.OPEN_SENT)
                 peer.tasks.start_soon(peer._serve, await connected(file.options["listen"]))
                 wanted = State.ESTABLISHED if early else State.OPEN_CONFIRM
-                await until(lambda: any(talk.session.state == wanted for talk in speaker.talks()))
+                await until(
+                    lambda: any(
+                        connection.session.state == wanted for connection in peer_connection.connections()
+                    )
+                )
                 peer.gates["open"].set()
-                await until(lambda: len(speaker.talks()) == 1)
+                await until(lambda: len(peer_connection.connections()) == 1)
                 for gate in peer.gates.values():
                     gate.set()
                 await until(lambda: peer.levels(ME) == {True})
-                self.assertEqual((len(speaker.talks()), len(peer.clients)), (1, 1))
+                self.assertEqual((len(peer_connection.connections()), len(peer.clients)), (1, 1))
                 if not early:
-                    self.assertEqual(speaker.main.opened, id_ < ME)
+                    self.assertEqual(peer_connection.primary.opened_locally, id_ < ME)
                 self.assertIn("connection collision resolution", {note.name for note in peer.notes})
 
         for id_ in ("10.0.0.1", "192.0.2.9"):
@@ -459,10 +489,10 @@
     def test_show_and_why(self) -> None:
         async def run() -> None:
             peer, hung = BgpPeer(), BgpPeer(fault="wrong-as")
-            file = File()
-            async with around(file, peer, hung) as here:
+            file = ServiceFile()
+            async with server_with_peers(file, peer, hung) as here:
                 await until(lambda: peer.levels(ME) == {True})
-                await until(lambda: announcer(here).speakers["p1"].main.session.error)
+                await until(lambda: advertiser_of(here).peer_connections["p1"].primary.session.error)
 
                 async def say(*command: str) -> tuple[int, str]:
                     done = await anyio.to_thread.run_sync(
@@ -490,37 +520,38 @@
         anyio.run(run)
 
     def test_md5(self) -> None:
-        """RFC 2385, between our own two ends: the right password connects, another one or none does not."""
+        """RFC 2385, between two sockets of ours: only the right password connects."""
 
         async def run() -> None:
             where = HostPort.parse(f"127.0.0.1:{free_port()}")
             waits = Peer("a", where, 1, password="right", passive=True)
             try:
-                tcp.probe(Announce(1, ip_address(ME), (), (), (waits,)))
+                tcp.check_options(Announce(1, ip_address(ME), (), (), (waits,)))
             except (
                 HostConfigurationError
-            ) as error:  # a machine without it: said at the start, in one sentence
+            ) as error:  # not supported by this machine: a clear error at the start
                 return self.assertIn("[announce.peer a] password: this machine refuses it", str(error))
             with tcp.listen(where, (waits,)):
                 for password, good in (("right", True), ("wrong", False), ("", False)):
-                    reached = False
+                    advertised = False
                     with anyio.move_on_after(20.0 if good else 0.4):
                         stream = await tcp.connect(Peer("b", where, 1, password=password))
-                        reached = True
+                        advertised = True
                         await stream.aclose()
-                    self.assertEqual(reached, good, password)
+                    self.assertEqual(advertised, good, password)
 
         anyio.run(run)
 
     def test_options_of_the_socket(self) -> None:
-        """MD5 and the least TTL where this machine allows them; else a clear refusal at the start."""
+        """MD5 and minimum TTL are used where the machine supports them; otherwise the start fails with a
+        clear error."""
 
         async def run() -> None:
             peer = BgpPeer()
-            file = File()
+            file = ServiceFile()
             file.peers["p0"] = {"min_ttl": 255, "source": "127.0.0.1"}
-            async with around(file, peer):
-                # The stand-in's packets have the usual TTL, as from further away: none is taken.
+            async with server_with_peers(file, peer):
+                # The fake's packets have the default TTL, as from further away, and are dropped.
                 await anyio.sleep(0.5)
                 self.assertEqual(peer.routes(), {})
                 file.peers["p0"]["min_ttl"] = 1
@@ -529,11 +560,11 @@
 
         anyio.run(run)
         bad = Peer("x", HostPort.parse("127.0.0.1:1"), 1, source=ip_address("192.0.2.77"))
-        told = Announce(1, ip_address(ME), (), (), (bad,))
+        announce = Announce(1, ip_address(ME), (), (), (bad,))
         with self.assertRaisesRegex(
             HostConfigurationError, r"\[announce.peer x\] source: this machine refuses it"
         ):
-            tcp.probe(told)
+            tcp.check_options(announce)
 
 
 async def connected(where: str) -> Any:
--- a/tests/test_bgp_fleet.py
+++ b/tests/test_bgp_fleet.py
@@ -1,5 +1,4 @@
-"""Three instances at 150% of what they can do, drained, killed and hung in turn, with a router that follows
-BGP."""
+"""Three app servers at 150% load are drained, killed and stopped in turn; a router follows BGP."""
 
 from __future__ import annotations
 
@@ -14,11 +13,11 @@
 from tests.app_server import until
 
 HOLD, GRACE, DELAY = 3.0, 2.0, 0.05
-LATE = 0.5  # for turns of the loop, on a machine that does other things as well; what it took comes on top
+LATE = 0.5  # seconds for the event loop; time taken by other processes is added
 
 
-def heard(fleet: Fleet, one: Instance, since: float) -> list[Seen]:
-    """What became of its address at the peer."""
+def received_events(fleet: Fleet, one: Instance, since: float) -> list[Seen]:
+    """Return what happened to a server's address at the peer."""
     mine = bytes(map(int, one.id.split(".")))
     return [seen for seen in fleet.peer.log if seen.who == mine and seen.at >= since]
 
@@ -40,10 +39,12 @@
 
                 began = time.time()
                 tasks.start_soon(ops)
-                # Each is crowded in its turn, and less preferred for a while: the others have its ops then,
-                # and at one moment all may be in full again.
+                # Each is overloaded in turn and less preferred for a while, so that the others get its
+                # requests; at times all are preferred again.
                 for each in fleet.all:
-                    await until(lambda one=each: any(not seen.full for seen in heard(fleet, one, began)))
+                    await until(
+                        lambda one=each: any(not seen.full for seen in received_events(fleet, one, began))
+                    )
                 drained, killed, hung = fleet.all
                 await self.drain(fleet, drained, began)
                 await self.back(fleet, drained)
@@ -61,7 +62,7 @@
 
                 await until(lambda: len(fleet.sent) > 800)
                 load.cancel()
-                # Whoever was neither killed nor hung answered all, and there was a path at every moment.
+                # Servers that were neither killed nor stopped answered all requests; a path always existed.
                 gone = {killed.number: kill_at, hung.number: stop_at}
                 for one in fleet.all:
                     span = gone.get(one.number, (float("inf"), 0.0))
@@ -69,7 +70,7 @@
                             if not span[0] - PATIENCE <= sent.at <= span[1]]  # fmt: skip
                     await self.answered(fleet, owed)
                 self.assertEqual([at for at, many in fleet.paths if not many], [], "zero paths")
-                # With one in full and the others away it has all the ops, and nacks most: what ran was acked.
+                # A single preferred server gets all requests and rejects most; those that ran were served.
                 runs = sum(len(one.processor.begun) for one in fleet.all)
                 self.assertGreater(fleet.acked(fleet.sent), runs * 2 / 3)
                 self.assertGreater(runs, len(fleet.sent) / 6)
@@ -78,14 +79,14 @@
             fleet.down()
 
     async def drain(self, fleet: Fleet, one: Instance, began: float) -> None:
-        """It withdraws soon, and before its door shuts; what it was sent until then has its answers."""
+        """A drained server withdraws soon and before its listener closes; its requests are answered."""
         assert one.process is not None
         spent = Spent(one.process.pid)
         notice = one.signal(TERM)
         await until(lambda: not fleet.peer.levels(one.id))
-        left, taken = max([notice, *(seen.at for seen in heard(fleet, one, notice))]), spent.taken()
+        left, taken = max([notice, *(seen.at for seen in received_events(fleet, one, notice))]), spent.taken()
         self.assertLess(left - notice - taken, GRACE / 4 + LATE)
-        self.assertNotIn("lost", [seen.what for seen in heard(fleet, one, notice)])
+        self.assertNotIn("lost", [seen.what for seen in received_events(fleet, one, notice)])
         await until(lambda: one.said("listener_closed", notice))
         (door,) = one.said("listener_closed", notice)
         self.assertLess(max(one.said("address_level_changed", notice, as_="withdrawn"), default=notice), door)
@@ -96,17 +97,17 @@
         self.assertNotIn("broken", one.log())
 
     async def lost(self, fleet: Fleet, one: Instance, number: int, within: float) -> tuple[float, float]:
-        """When it was killed or stopped, and when the peer had lost its path."""
-        await until(lambda: fleet.peer.levels(one.id))  # it may be away for a crowd
+        """Return when a server was killed or stopped, and when the peer had lost its path."""
+        await until(lambda: fleet.peer.levels(one.id))  # it may be withdrawn for overload
         spent = Spent()
         at = one.signal(number)
         await until(lambda: not fleet.peer.levels(one.id))
-        lost = max(seen.at for seen in heard(fleet, one, 0.0))
+        lost = max(seen.at for seen in received_events(fleet, one, 0.0))
         self.assertLess(lost - at - spent.taken(), within)
         return at, lost
 
     async def left_alone(self, fleet: Fleet, one: Instance, lost: float) -> float:
-        """The router has seen that the path is gone, and sends it nothing more; the moment."""
+        """The router has noticed the lost path and sends no more requests; returns when."""
         await until(lambda: one.number not in [number for number, _ in fleet.known])
         seen = max(time.time(), lost + FOLLOW + LATE)
         await anyio.sleep(1.0)
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -30,7 +30,7 @@
 from tests import app_server as quiet  # no log lines
 from tests.conformance.tables import Case, Row, played, rows
 from thymeyoke.affinity.controller import Assignment, AssignmentReason
-from thymeyoke.bgp.controller import Decider, Level, Look, Terms
+from thymeyoke.bgp.controller import Level, LevelController, LevelSettings, ServerObservation
 from thymeyoke.configuration.service_config import HostPort
 from thymeyoke.membership.configuration import Members
 from thymeyoke.membership.view import Member, Snapshot, State, Trust, View
@@ -620,21 +620,21 @@
 
 @rule(25)
 def lowered(t: unittest.TestCase, row: Row) -> None:
-    decider = Decider(0.0, Terms(1, 0.2, 2.0, 1.0, 60), ADDRESSES)
-    look = Look(True, True, 0.0, None, 0, 0, 0, 100)
+    controller = LevelController(0.0, LevelSettings(1, 0.2, 2.0, 1.0, 60), ADDRESSES)
+    look = ServerObservation(True, True, 0.0, None, 0, 0, 0, 100)
 
     def settled(now: float) -> list[Level]:
         for at in (now, now + 2.0):
-            decider.look(at, look)
-            decider.settle(at)
-        return [one.level for one in decider.addresses.values()]
+            controller.observe(at, look)
+            controller.advance(at)
+        return [one.level for one in controller.addresses.values()]
 
     t.assertEqual(settled(0.0), [Level.FULL] * 3)
     for low, wanted in (({"a": "less"}, Level.LESS), ({"a": "withdrawn"}, Level.WITHDRAWN), ({}, Level.FULL)):
-        decider.caps = advertisement_levels.caps(ADDRESSES, SERVICES, low)
-        t.assertEqual(settled(10.0 * len(decider.caps) + 10.0 * wanted), [wanted, Level.FULL, Level.FULL])
-    decider.caps = advertisement_levels.caps(ADDRESSES, SERVICES, {"a": "less"})
-    decider.leave(100.0, 104.0)
+        controller.caps = advertisement_levels.caps(ADDRESSES, SERVICES, low)
+        t.assertEqual(settled(10.0 * len(controller.caps) + 10.0 * wanted), [wanted, Level.FULL, Level.FULL])
+    controller.caps = advertisement_levels.caps(ADDRESSES, SERVICES, {"a": "less"})
+    controller.start_drain(100.0, 104.0)
     t.assertEqual(settled(101.0), [Level.WITHDRAWN] * 3)  # a cap lifts nothing
 
 
--- a/thymeyoke/bgp/__init__.py
+++ b/thymeyoke/bgp/__init__.py
@@ -1,1 +1,1 @@
-"""Service addresses over BGP: announced while this instance can serve; docs/bgp.md has the whole."""
+"""Advertises service addresses over BGP while this app server can serve."""
--- a/thymeyoke/bgp/advertiser.py
+++ b/thymeyoke/bgp/advertiser.py
@@ -1,9 +1,8 @@
-"""The actor behind the desk: looks at the server, asks the decisions, and tells the speakers what to
-announce.
+"""Actor for the section `[announce]`: observes the server and keeps the BGP peers up to date.
 
-It stands behind the desk's one seam (`net/behind.py`): told of the drain by the desk at once, of the rest
-when it asks, a few times a second. What the decisions want is handed to the speakers as one mapping; each
-brings its peer there by itself.
+It is an extension of the server: the dispatcher notifies it of a drain, and answers a status query several
+times a second. The controller decides the level of each address; each peer connection brings its peer there
+by itself.
 """
 
 from __future__ import annotations
@@ -20,11 +19,11 @@
 
 from thymeyoke.bgp import tcp
 from thymeyoke.bgp.configuration import Announce, Prefix
-from thymeyoke.bgp.controller import Decider, Level, Look, Terms, Why
-from thymeyoke.bgp.peer_connection import Speaker
-from thymeyoke.bgp.presentation import Shown
+from thymeyoke.bgp.controller import Level, LevelController, LevelDecision, LevelSettings, ServerObservation
+from thymeyoke.bgp.peer_connection import PeerConnection
+from thymeyoke.bgp.presentation import ReceivedPaths
 from thymeyoke.bgp.session import State
-from thymeyoke.bgp.wire import Code, Notification
+from thymeyoke.bgp.wire import ErrorCode, Notification
 from thymeyoke.configuration.service_config import IpAddress
 from thymeyoke.runtime import logs, status_socket
 from thymeyoke.runtime.clock import clock
@@ -37,227 +36,267 @@
 )
 from thymeyoke.runtime.mailbox import take_all
 
-LOOK = 0.25  # seconds between looks at the server
-LETTERS = 32
-DECONFIGURED, CHANGED = Notification(Code.CEASE, 3), Notification(Code.CEASE, 6)
+STATUS_INTERVAL = 0.25  # seconds
+MAILBOX_SIZE = 32
+DECONFIGURED, CHANGED = Notification(ErrorCode.CEASE, 3), Notification(ErrorCode.CEASE, 6)
 
-Letter = ServerStatus | DrainStarted | ConfigurationChanged
+HostNotification = ServerStatus | DrainStarted | ConfigurationChanged
 
 
-def terms(told: Announce) -> Terms:
-    return Terms(told.least_others, told.crowded_share, told.crowded_after, told.settle, told.changes)
+def level_settings(settings: Announce) -> LevelSettings:
+    """Return the settings of the level controller."""
+    return LevelSettings(
+        settings.least_others,
+        settings.crowded_share,
+        settings.crowded_after,
+        settings.settle,
+        settings.changes,
+    )
 
 
-def _own(told: Announce) -> tuple[bytes, ...]:
-    return (told.id.packed, *(hop.packed for hop in told.next_hop))
+def _own_identifiers(settings: Announce) -> tuple[bytes, ...]:
+    """Return the identifiers by which this server recognizes its own paths."""
+    return (settings.id.packed, *(hop.packed for hop in settings.next_hop))
 
 
 class Advertiser:
-    """Stands behind the desk while the operators' file has `[announce]`."""
+    """Extension for the section `[announce]`."""
 
     name = "announce"
     observes_requests, extends_drain = False, True
 
-    def __init__(self, told: Announce, seed: int, desk: MemoryObjectSendStream[StatusQuery]) -> None:
-        self.told, self.rng, self.desk = told, Random(seed), desk
+    def __init__(
+        self, settings: Announce, seed: int, dispatcher: MemoryObjectSendStream[StatusQuery]
+    ) -> None:
+        self.settings, self.rng, self.dispatcher = settings, Random(seed), dispatcher
         now = clock()
-        self.decider = Decider(now, terms(told), told.addresses)
-        self.shown = Shown(told.as_, _own(told), told.med, told.addresses)
-        self.speakers: dict[str, Speaker] = {}  # by the peer's name
-        self.outbox, self.letters = anyio.create_memory_object_stream[Letter](LETTERS)
-        self.poked = anyio.Event()  # what peers show has changed
-        self.asked_at, self.standing = 0.0, True
-        self.over = False
-        self.listening: anyio.CancelScope | None = None
-        self.history: list[tuple[float, str, str, str]] = []  # the last changes: when, address, level, why
-
-    # The seam.
-
-    def notify(self, what: Letter) -> None:
+        self.controller = LevelController(now, level_settings(settings), settings.addresses)
+        self.received_paths = ReceivedPaths(
+            settings.as_, _own_identifiers(settings), settings.med, settings.addresses
+        )
+        self.peer_connections: dict[str, PeerConnection] = {}  # by the peer's name
+        self.mailbox_sender, self.mailbox = anyio.create_memory_object_stream[HostNotification](MAILBOX_SIZE)
+        self.wakeup = anyio.Event()  # set when received paths or caps have changed
+        self.asked_at, self.status_received = 0.0, True
+        self.stopping = False
+        self.listener_scope: anyio.CancelScope | None = None
+        self.history: list[tuple[float, str, str, str]] = []  # time, address, level, reason
+
+    # Interface of extensions.
+
+    def notify(self, notification: HostNotification) -> None:
+        """Receive a notification without waiting; it is dropped if the mailbox is full."""
         try:
-            self.outbox.send_nowait(what)
+            self.mailbox_sender.send_nowait(notification)
         except anyio.WouldBlock:
             logs.counters["announce_letters_full"] += 1
         except (anyio.BrokenResourceError, anyio.ClosedResourceError):
             pass
 
-    def cap(self, caps: Mapping[Prefix, Why]) -> None:
-        """Told from outside: no address goes out at more than its cap, with the cap's reason. It replaces all
-        caps before it; an address without one is as free as ever."""
-        if caps != self.decider.caps:
-            self.decider.caps = dict(caps)
-            self.poked.set()
+    def set_caps(self, caps: Mapping[Prefix, LevelDecision]) -> None:
+        """Set the highest level of each address, and the reason. Addresses without a cap are not limited."""
+        if caps != self.controller.caps:
+            self.controller.caps = dict(caps)
+            self.wakeup.set()
 
-    def in_full(self, ip: IpAddress) -> bool:
-        """Whether all addresses that hold this one are announced in full, by the last look."""
-        found = [one.level for prefix, one in self.decider.addresses.items() if ip in prefix]
-        return all(level == Level.FULL for level in found)
+    def is_fully_advertised(self, ip: IpAddress) -> bool:
+        """Return whether all addresses that contain this one are advertised at the highest level."""
+        levels = [state.level for prefix, state in self.controller.addresses.items() if ip in prefix]
+        return all(level == Level.FULL for level in levels)
 
     async def run(self) -> None:
-        control_at = status_socket.socket_path(self.told.control, self.name)
+        """Advertise until the section is removed or the task is cancelled."""
+        control_at = status_socket.socket_path(self.settings.control, self.name)
         try:
             async with anyio.create_task_group() as self.tasks:
                 self.tasks.start_soon(
                     status_socket.serve_status, control_at, self.name, lambda: self.status(clock())
                 )
-                self._meet()
-                await self._go()
-                for speaker in self.speakers.values():
-                    speaker.stop(DECONFIGURED)
-                with anyio.move_on_after(2 * tcp.FAREWELL):
-                    while any(not speaker.done for speaker in self.speakers.values()):
-                        await anyio.sleep(tcp.FAREWELL / 10)
+                self._start_peers()
+                await self._run()
+                for peer_connection in self.peer_connections.values():
+                    peer_connection.stop(DECONFIGURED)
+                with anyio.move_on_after(2 * tcp.CLOSE_GRACE):
+                    while any(not peer_connection.done for peer_connection in self.peer_connections.values()):
+                        await anyio.sleep(tcp.CLOSE_GRACE / 10)
                 self.tasks.cancel_scope.cancel()
             self.close()
         finally:
-            self.speakers.clear()
-            self.listening = None
+            self.peer_connections.clear()
+            self.listener_scope = None
 
     tasks: TaskGroup
 
     def close(self) -> None:
-        self.outbox.close()
-        self.letters.close()
+        """Close the mailbox."""
+        self.mailbox_sender.close()
+        self.mailbox.close()
 
     def _changed(self) -> None:
-        self.poked.set()
+        """Wake up because the paths received from a peer have changed."""
+        self.wakeup.set()
 
-    async def _go(self) -> None:
-        look_at = clock()
-        while not self.over:
+    async def _run(self) -> None:
+        """Handle notifications and timers until stopped."""
+        next_status_at = clock()
+        while not self.stopping:
             now = clock()
-            moment = min(look_at, self.decider.next(now))
-            got: list[Letter] = take_all(self.letters)
-            if not got and not self.poked.is_set():
-                with anyio.move_on_after(max(0.0, moment - now)):
-                    await self._something(got)
-            got += take_all(self.letters)
-            self.poked = anyio.Event()
+            wake_at = min(next_status_at, self.controller.next_advance_at(now))
+            notifications: list[HostNotification] = take_all(self.mailbox)
+            if not notifications and not self.wakeup.is_set():
+                with anyio.move_on_after(max(0.0, wake_at - now)):
+                    await self._wait_for_notification(notifications)
+            notifications += take_all(self.mailbox)
+            self.wakeup = anyio.Event()
             now = clock()
-            for letter in got:
-                self._hear(now, letter)
-            if now >= look_at:
-                look_at = now + LOOK
-                self._ask(now)
-            self._settle(now)
-
-    async def _something(self, got: list[Letter]) -> None:
+            for notification in notifications:
+                self._handle_notification(now, notification)
+            if now >= next_status_at:
+                next_status_at = now + STATUS_INTERVAL
+                self._request_status(now)
+            self._advance(now)
+
+    async def _wait_for_notification(self, notifications: list[HostNotification]) -> None:
+        """Wait for a notification or a wake-up."""
         async with anyio.create_task_group() as tasks:
 
-            async def poked() -> None:
-                await self.poked.wait()
+            async def wakeup() -> None:
+                await self.wakeup.wait()
                 tasks.cancel_scope.cancel()
 
-            tasks.start_soon(poked)
-            got.append(await self.letters.receive())
+            tasks.start_soon(wakeup)
+            notifications.append(await self.mailbox.receive())
             tasks.cancel_scope.cancel()
 
-    def _ask(self, now: float) -> None:
-        if not self.standing and self.decider.last:
+    def _request_status(self, now: float) -> None:
+        """Send a status query; if the last one is unanswered, the server counts as overloaded."""
+        if not self.status_received and self.controller.last:
             logs.counters["announce_late_looks"] += 1
-            self.decider.look(now, self.decider.last._replace(late=True))
-        self.standing = False
+            self.controller.observe(now, self.controller.last._replace(late=True))
+        self.status_received = False
         with suppress(anyio.WouldBlock, anyio.BrokenResourceError, anyio.ClosedResourceError):
-            self.desk.send_nowait(StatusQuery(self))
+            self.dispatcher.send_nowait(StatusQuery(self))
 
-    def _hear(self, now: float, letter: Letter) -> None:
-        match letter:
+    def _handle_notification(self, now: float, notification: HostNotification) -> None:
+        """Handle one notification of the server."""
+        match notification:
             case ServerStatus():
-                self.standing = True
-                self.decider.look(now, Look(*letter))
+                self.status_received = True
+                self.controller.observe(now, ServerObservation(*notification))
             case DrainStarted(door_at):
-                self.decider.leave(now, door_at)
+                self.controller.start_drain(now, door_at)
             case ConfigurationChanged(section):
-                self._reform(now, section)
-
-    def _settle(self, now: float) -> None:
-        for prefix in self.told.addresses:
-            self.decider.seen(prefix, self.shown.others(prefix))
-        moved = self.decider.settle(now)
-        if not moved:
+                self._reconfigure(now, section)
+
+    def _advance(self, now: float) -> None:
+        """Bring the levels up to date, and log and send what changed."""
+        for prefix in self.settings.addresses:
+            self.controller.set_others(prefix, self.received_paths.count_others(prefix))
+        changed = self.controller.advance(now)
+        if not changed:
             return
-        for prefix in moved:
-            one = self.decider.addresses[prefix]
+        for prefix in changed:
+            state = self.controller.addresses[prefix]
             logs.counters["announce_changes"] += 1
             logs.log_event(
                 logging.INFO,
                 "address_level_changed",
                 address=prefix,
-                as_=one.level.name.lower(),
-                reason=one.why,
+                as_=state.level.name.lower(),
+                reason=state.reason,
             )
-            self.history.append((now, str(prefix), one.level.name.lower(), one.why))
+            self.history.append((now, str(prefix), state.level.name.lower(), state.reason))
         del self.history[:-16]
-        self._tell(now, any(self.decider.addresses[prefix].level == Level.WITHDRAWN for prefix in moved))
-
-    def _levels(self) -> dict[Prefix, Level]:
-        return {prefix: one.level for prefix, one in self.decider.addresses.items()}
-
-    def _tell(self, now: float, hurry: bool) -> None:
-        """A withdrawal must be taken soon, or its session ends, which withdraws as well."""
-        within = None
-        if hurry:
-            within = min(self.told.settle / 2, max(0.05, (self.decider.door_at - now) / 4))
-        for speaker in self.speakers.values():
-            speaker.stir(self._levels(), self.told, within)
+        self._update_peers(
+            now, any(self.controller.addresses[prefix].level == Level.WITHDRAWN for prefix in changed)
+        )
+
+    def _current_levels(self) -> dict[Prefix, Level]:
+        """Return the level of each address."""
+        return {prefix: state.level for prefix, state in self.controller.addresses.items()}
+
+    def _update_peers(self, now: float, is_withdrawal: bool) -> None:
+        """Send the levels to all peers.
+
+        A peer that does not take a withdrawal in time loses its session, which withdraws the addresses as
+        well.
+        """
+        withdrawal_timeout = None
+        if is_withdrawal:
+            withdrawal_timeout = min(
+                self.settings.settle / 2, max(0.05, (self.controller.listener_closes_at - now) / 4)
+            )
+        for peer_connection in self.peer_connections.values():
+            peer_connection.set_wanted_levels(self._current_levels(), self.settings, withdrawal_timeout)
 
-    # The file, read anew.
+    # Configuration.
 
-    def _reform(self, now: float, told: Announce | None) -> None:
-        if told is None:
-            self.over = True
+    def _reconfigure(self, now: float, settings: Announce | None) -> None:
+        """Apply a changed section: restart the sessions that it affects."""
+        if settings is None:
+            self.stopping = True
             return
-        old, self.told = self.told, told
-        self.decider.change(now, terms(told), told.addresses)
-        self.shown.change(told.as_, _own(told), told.med, told.addresses)
-        families = {prefix.version for prefix in old.addresses}, {prefix.version for prefix in told.addresses}
-        anew = (old.as_, old.id) != (told.as_, told.id) or families[0] != families[1]
-        before = {peer.name: peer for peer in old.peers}
-        after = {peer.name: peer for peer in told.peers}
-        for name, peer in before.items():
-            if name not in after:
-                self._part(name, DECONFIGURED)
-            elif anew or after[name] != peer:
-                self._part(name, CHANGED)
-        if old.listen != told.listen and self.listening:
-            self.listening.cancel()
-            self.listening = None
-        self._meet()
-        self._tell(now, False)
-
-    def _part(self, name: str, why: Notification) -> None:
-        self.speakers.pop(name).stop(why)
-        self.shown.lost(name)
-
-    def _meet(self) -> None:
-        for peer in self.told.peers:
-            if peer.name not in self.speakers:
-                speaker = Speaker(self.told, peer, self.shown, self.rng, self._changed)
-                speaker.stir(self._levels(), self.told, None)
-                self.speakers[peer.name] = speaker
-                self.tasks.start_soon(self._kept, speaker)
-        if self.told.listen and self.listening is None:
-            self.listening = anyio.CancelScope()
-            self.tasks.start_soon(self._listen, self.listening)
-
-    async def _kept(self, speaker: Speaker) -> None:
-        """An error here ends what is said to one peer; the server goes on, and the peer's hold time runs."""
+        previous, self.settings = self.settings, settings
+        self.controller.reconfigure(now, level_settings(settings), settings.addresses)
+        self.received_paths.reconfigure(
+            settings.as_, _own_identifiers(settings), settings.med, settings.addresses
+        )
+        families = (
+            {prefix.version for prefix in previous.addresses},
+            {prefix.version for prefix in settings.addresses},
+        )
+        restart_all = (previous.as_, previous.id) != (settings.as_, settings.id) or families[0] != families[1]
+        old_peers = {peer.name: peer for peer in previous.peers}
+        new_peers = {peer.name: peer for peer in settings.peers}
+        for name, peer in old_peers.items():
+            if name not in new_peers:
+                self._stop_peer(name, DECONFIGURED)
+            elif restart_all or new_peers[name] != peer:
+                self._stop_peer(name, CHANGED)
+        if previous.listen != settings.listen and self.listener_scope:
+            self.listener_scope.cancel()
+            self.listener_scope = None
+        self._start_peers()
+        self._update_peers(now, False)
+
+    def _stop_peer(self, name: str, reason: Notification) -> None:
+        """Close a peer's session and forget its paths."""
+        self.peer_connections.pop(name).stop(reason)
+        self.received_paths.remove_peer(name)
+
+    def _start_peers(self) -> None:
+        """Start the configured peers and the listener that are not running yet."""
+        for peer in self.settings.peers:
+            if peer.name not in self.peer_connections:
+                peer_connection = PeerConnection(
+                    self.settings, peer, self.received_paths, self.rng, self._changed
+                )
+                peer_connection.set_wanted_levels(self._current_levels(), self.settings, None)
+                self.peer_connections[peer.name] = peer_connection
+                self.tasks.start_soon(self._run_peer, peer_connection)
+        if self.settings.listen and self.listener_scope is None:
+            self.listener_scope = anyio.CancelScope()
+            self.tasks.start_soon(self._listen, self.listener_scope)
+
+    async def _run_peer(self, peer_connection: PeerConnection) -> None:
+        """Run a peer connection. After an error the peer's hold timer removes the routes."""
         try:
-            await speaker.run()
+            await peer_connection.run()
         except Exception as error:
             logs.counters["announce_error"] += 1
-            logs.log_event(logging.ERROR, "bgp_peer_failed", error, peer=speaker.peer.name)
+            logs.log_event(logging.ERROR, "bgp_peer_failed", error, peer=peer_connection.peer.name)
         finally:
-            speaker.done = True
+            peer_connection.done = True
 
     async def _listen(self, scope: anyio.CancelScope) -> None:
-        assert self.told.listen is not None
+        """Accept connections of peers."""
+        assert self.settings.listen is not None
         with scope:
             try:
-                sock = tcp.listen(self.told.listen, self.told.peers)
+                sock = tcp.listen(self.settings.listen, self.settings.peers)
             except OSError as error:
                 logs.counters["announce_error"] += 1
-                return logs.log_event(logging.ERROR, "bgp_listen_failed", error, address=self.told.listen)
+                return logs.log_event(logging.ERROR, "bgp_listen_failed", error, address=self.settings.listen)
             listener = await anyio.abc.SocketListener.from_socket(sock)
             async with listener:
                 while True:
@@ -265,57 +304,65 @@
                         stream = await listener.accept()
                     except OSError:
                         logs.counters["announce_accept_failed"] += 1
-                        await anyio.sleep(LOOK)
+                        await anyio.sleep(STATUS_INTERVAL)
                         continue
-                    if not self._accepted(stream):
+                    if not self._accept_connection(stream):
                         logs.counters["announce_strangers"] += 1
                         await anyio.aclose_forcefully(stream)
 
-    def _accepted(self, stream: SocketStream) -> bool:
+    def _accept_connection(self, stream: SocketStream) -> bool:
+        """Pass an accepted connection to its peer; False if no peer wants it."""
         with suppress(OSError, anyio.TypedAttributeLookupError):
             host = str(stream.extra(SocketAttribute.remote_address)[0])
-            near = [one for one in self.speakers.values() if str(one.peer.address.ip) == host]
-            for speaker in sorted(near, key=lambda one: not one.peer.passive)[:1]:
-                tcp.welcome(stream, speaker.peer)
-                return speaker.accepted(stream)
+            candidates = [one for one in self.peer_connections.values() if str(one.peer.address.ip) == host]
+            for peer_connection in sorted(candidates, key=lambda one: not one.peer.passive)[:1]:
+                tcp.prepare_accepted(stream, peer_connection.peer)
+                return peer_connection.accept(stream)
         return False
 
-    # What is told to people.
+    # Status.
 
     def status(self, now: float) -> dict[str, Any]:
-        """Plain values for `announce show` and `announce why`."""
+        """Return plain values for `announce show` and `announce why`."""
         addresses = [
             {
-                "address": str(prefix), "level": one.level.name.lower(), "why": one.why,
-                "since": one.since, "for": max(0.0, now - one.since), "changes": one.changes,
-                "others": one.others,
-                "known": self.shown.known(prefix),
+                "address": str(prefix), "level": state.level.name.lower(), "why": state.reason,
+                "since": state.since, "for": max(0.0, now - state.since), "changes": state.changes,
+                "others": state.others,
+                "known": self.received_paths.describe(prefix),
                 "peers": {
-                    name: "held" if prefix in speaker.main.sent
-                    else "no session" if speaker.main.session.state != State.ESTABLISHED
+                    name: "held" if prefix in peer_connection.primary.sent_routes
+                    else "no session" if peer_connection.primary.session.state != State.ESTABLISHED
                     else "not announced"
-                    for name, speaker in self.speakers.items()
+                    for name, peer_connection in self.peer_connections.items()
                 },
             }
-            for prefix, one in self.decider.addresses.items()
+            for prefix, state in self.controller.addresses.items()
         ]  # fmt: skip
-        crowd, last = self.decider.crowd, self.decider.last
+        overload, last = self.controller.overload, self.controller.last
         return {
-            "now": now, "peers": [speaker.status(now) for speaker in self.speakers.values()],
-            "addresses": addresses, "looks": last._asdict() if last else None,
-            "crowd": {"heat": crowd.heat, "hot": crowd.hot, "after": self.told.crowded_after},
-            "budget": {"left": self.decider.budget.left, "of": self.told.changes},
-            "drain": self.decider.door_at < float("inf"),
+            "now": now,
+            "peers": [peer_connection.status(now) for peer_connection in self.peer_connections.values()],
+            "addresses": addresses,
+            "looks": last._asdict() if last else None,
+            "crowd": {
+                "heat": overload.overload_seconds,
+                "hot": overload.is_overloaded,
+                "after": self.settings.crowded_after,
+            },
+            "budget": {"left": self.controller.budget.tokens, "of": self.settings.changes},
+            "drain": self.controller.listener_closes_at < float("inf"),
             "history": [
                 dict(zip(("at", "address", "level", "why"), row, strict=True)) for row in self.history
             ],
-        }  # fmt: skip
+        }
 
 
-def check_host(told: Announce) -> None:
-    """Whether this machine can carry the section out; `behind.Refused` else."""
-    tcp.probe(told)
+def check_host(settings: Announce) -> None:
+    """Check that this machine supports the socket options; raises `HostConfigurationError` otherwise."""
+    tcp.check_options(settings)
 
 
-def create_extension(told: Announce, around: ExtensionContext) -> Advertiser:
-    return Advertiser(told, around.seed, around.dispatcher)
+def create_extension(settings: Announce, context: ExtensionContext) -> Advertiser:
+    """Create the extension for the section `[announce]`."""
+    return Advertiser(settings, context.seed, context.dispatcher)
--- a/thymeyoke/bgp/controller.py
+++ b/thymeyoke/bgp/controller.py
@@ -1,7 +1,7 @@
-"""What is announced, and how: facts of this instance and of others' paths in, a wanted level for each
-address out.
+"""Decides at which level each service address is advertised. Pure, no I/O.
 
-Pure. docs/bgp.md has the rules as a table, and why no crowd leaves an address without a path.
+The inputs are observations of this server and the number of others that advertise the address. An overloaded
+server reduces its level and may withdraw, but never the last path to an address.
 """
 
 from __future__ import annotations
@@ -12,48 +12,58 @@
 
 from thymeyoke.bgp.configuration import Prefix
 
-BUSY = (
-    0.9  # of the cores: below, nacks come from elsewhere than the cores, and would follow the ops elsewhere
-)
-FULL_TABLE = 0.95  # of the connections that are taken
-COOL = 1 / 4  # of the heat at which a crowd is one: below, it is over
-STAYS = 2.0  # times that heat: the crowd stays though less was sent here, and only going away is left
-TOP = 2.5  # times that heat: no crowd is remembered for longer
-AWAY = 2  # times `crowded_after`: the first time away for a crowd
-AWAY_TOP = 60.0  # seconds
-FORGET = 60.0  # seconds in which the count of times away halves
-DRAIN_PART = 1 / 4  # of the time until the door shuts: less preferred for so long, then withdrawn
+# Of the cores. Rejections below it are not for lack of CPU, and other servers would have the same cause.
+OVERLOAD_CPU_SHARE = 0.9
+OVERLOAD_CONNECTION_SHARE = 0.95  # of the maximum of connections
+OVERLOAD_END_FACTOR = 1 / 4  # of `crowded_after`: the overload is over
+PERSISTENT_OVERLOAD_FACTOR = 2.0  # of `crowded_after`: lowering the level did not help
+MAX_OVERLOAD_FACTOR = 2.5  # of `crowded_after`: overload is remembered for at most so long
+FIRST_WITHDRAWAL_FACTOR = 2  # of `crowded_after`; doubled with each recent withdrawal
+MAX_WITHDRAWAL_SECONDS = 60.0
+WITHDRAWALS_HALF_LIFE = 60.0  # seconds
+DEPREFERENCE_DRAIN_SHARE = 1 / 4  # of the time until the listener closes; withdrawn afterwards
 MINUTE = 60.0
 
 
 class Level(IntEnum):
+    """How an address is advertised. Operators see the names in lower case.
+
+    `FULL` is preferred, `LESS` is advertised with attributes that make routers prefer other paths, and
+    `WITHDRAWN` is not advertised.
+    """
+
     WITHDRAWN = 0
     LESS = 1
     FULL = 2
 
 
-class Why(NamedTuple):
+class LevelDecision(NamedTuple):
+    """A level and its reason, as shown to operators."""
+
     level: Level
-    text: str
-    forced: bool = False  # the budget of changes does not hold it back
+    reason: str
+    ignores_budget: bool = False  # made even if the budget of changes is spent
 
 
-class Look(NamedTuple):
-    """One look at the server. Counts run from its start, moments are the clock's."""
+class ServerObservation(NamedTuple):
+    """One observation of the server. Counters start at its start; times are those of the clock.
+
+    The names of the fields are part of the status output.
+    """
 
     up: bool
-    linked: bool  # the processor's link
+    linked: bool  # connected to the processor
     warm_at: float
-    busy: float | None  # of the cores, 0 to 1
+    busy: float | None  # share of the cores, 0 to 1
     ops: int
     nacked: int
     connections: int
     most: int
-    late: bool = False  # the server did not answer the look in time
+    late: bool = False  # the status query was not answered in time
 
 
-class Terms(NamedTuple):
-    """What the operators say; docs/bgp.md. Times in seconds."""
+class LevelSettings(NamedTuple):
+    """Settings of the level controller, from `[announce]`. Times are in seconds."""
 
     least_others: int
     crowded_share: float
@@ -62,193 +72,214 @@
     changes: int
 
 
-class Bucket:
-    """A budget: so many at once, refilled over a span."""
+class TokenBucket:
+    """Rate limiter: up to `size` tokens at once, refilled over `span` seconds."""
 
     def __init__(self, size: float, span: float) -> None:
         self.size, self.rate = size, size / span
-        self.left, self.at = size, 0.0
-
-    def has(self, now: float, many: float = 1.0) -> bool:
-        self.left = min(self.size, self.left + max(0.0, now - self.at) * self.rate)
-        self.at = max(now, self.at)
-        return self.left >= many
-
-    def take(self, now: float, many: float = 1.0) -> None:
-        """Also what is not there: what had to be is paid for later, down to an empty budget and no
-        further."""
-        self.has(now)
-        self.left = max(0.0, self.left - many)
-
-    def when(self, now: float, many: float = 1.0) -> float:
-        """The moment at which `many` are there."""
-        return now if self.has(now, many) else now + (many - self.left) / self.rate
-
-
-class Crowd:
-    """Whether the cores stay crowded: seconds in a crowd against seconds out of one, with two thresholds."""
-
-    def __init__(self, terms: Terms) -> None:
-        self.terms, self.heat, self.hot = terms, 0.0, False
-        self.last: Look | None = None
-        self.at = 0.0
-
-    def look(self, now: float, look: Look) -> None:
-        span = min(max(0.0, now - self.at), self.terms.crowded_after / 2) if self.last else 0.0
-        crowded = self.crowded(look)
-        self.last, self.at = look, now
-        self.heat = min(TOP * self.terms.crowded_after, max(0.0, self.heat + (span if crowded else -span)))
-        if self.heat >= self.terms.crowded_after:
-            self.hot = True
-        elif self.heat <= COOL * self.terms.crowded_after:
-            self.hot = False
+        self.tokens, self.updated_at = size, 0.0
+
+    def has_tokens(self, now: float, count: float = 1.0) -> bool:
+        """Refill the bucket and return whether it has `count` tokens."""
+        self.tokens = min(self.size, self.tokens + max(0.0, now - self.updated_at) * self.rate)
+        self.updated_at = max(now, self.updated_at)
+        return self.tokens >= count
+
+    def take(self, now: float, count: float = 1.0) -> None:
+        """Take tokens, at most as many as there are."""
+        self.has_tokens(now)
+        self.tokens = max(0.0, self.tokens - count)
+
+    def available_at(self, now: float, count: float = 1.0) -> float:
+        """Return when `count` tokens are available."""
+        return now if self.has_tokens(now, count) else now + (count - self.tokens) / self.rate
+
+
+class OverloadDetector:
+    """Detects lasting overload: time under overload counts up, time without it counts down.
+
+    Two thresholds keep the result from flapping.
+    """
+
+    def __init__(self, settings: LevelSettings) -> None:
+        self.settings, self.overload_seconds, self.is_overloaded = settings, 0.0, False
+        self.last: ServerObservation | None = None
+        self.observed_at = 0.0
+
+    def observe(self, now: float, observation: ServerObservation) -> None:
+        """Add the time since the last observation."""
+        span = min(max(0.0, now - self.observed_at), self.settings.crowded_after / 2) if self.last else 0.0
+        shows_overload = self.shows_overload(observation)
+        self.last, self.observed_at = observation, now
+        self.overload_seconds = min(
+            MAX_OVERLOAD_FACTOR * self.settings.crowded_after,
+            max(0.0, self.overload_seconds + (span if shows_overload else -span)),
+        )
+        if self.overload_seconds >= self.settings.crowded_after:
+            self.is_overloaded = True
+        elif self.overload_seconds <= OVERLOAD_END_FACTOR * self.settings.crowded_after:
+            self.is_overloaded = False
 
     @property
-    def stays(self) -> bool:
-        return self.heat >= STAYS * self.terms.crowded_after
+    def is_persistent(self) -> bool:
+        """Whether the overload continues although less traffic was sent here."""
+        return self.overload_seconds >= PERSISTENT_OVERLOAD_FACTOR * self.settings.crowded_after
 
-    def crowded(self, look: Look) -> bool:
-        if look.late or look.connections >= FULL_TABLE * look.most:
+    def shows_overload(self, observation: ServerObservation) -> bool:
+        """Return whether an observation shows overload."""
+        if observation.late or observation.connections >= OVERLOAD_CONNECTION_SHARE * observation.most:
             return True
-        before = self.last
-        if before is None or look.busy is None or look.busy < BUSY:
+        previous = self.last
+        if previous is None or observation.busy is None or observation.busy < OVERLOAD_CPU_SHARE:
             return False
-        ops = look.ops - before.ops
-        return ops > 0 and look.nacked - before.nacked >= self.terms.crowded_share * ops
+        ops = observation.ops - previous.ops
+        return ops > 0 and observation.nacked - previous.nacked >= self.settings.crowded_share * ops
 
 
-class Address:
-    """Where one address stands."""
+class AddressState:
+    """The current level of an address."""
 
     def __init__(self, now: float) -> None:
-        self.level, self.why, self.since = Level.WITHDRAWN, "not yet looked at", now
+        self.level, self.reason, self.since = Level.WITHDRAWN, "not yet looked at", now
         self.others = 0
-        self.crowded_out = False  # withdrawn for a crowd, and not yet back
-        self.back_at = 0.0
+        self.withdrawn_for_overload = False
+        self.return_at = 0.0
         self.changes = 0
 
 
-class Decider:
-    """Levels for all addresses. Call `look`, `leave`, `seen` as things happen, then `settle`."""
+class LevelController:
+    """Decides the levels of all addresses.
+
+    Call `observe`, `start_drain` and `set_others` as things happen, then `advance`.
+    """
 
-    def __init__(self, now: float, terms: Terms, addresses: Iterable[Prefix]) -> None:
-        self.terms, self.crowd = terms, Crowd(terms)
-        self.addresses = {prefix: Address(now) for prefix in addresses}
-        self.caps: Mapping[Prefix, Why] = {}  # told from outside: no address goes out at more than its cap
-        self.budget = Bucket(terms.changes, MINUTE)
-        self.away, self.away_at = 0.0, now  # times away for a crowd, halved by quiet
-        self.unlinked_at = self.withdraw_at = self.door_at = float("inf")
-        self.again_at = float("inf")  # when a change that the budget held back may be made
+    def __init__(self, now: float, settings: LevelSettings, addresses: Iterable[Prefix]) -> None:
+        self.settings, self.overload = settings, OverloadDetector(settings)
+        self.addresses = {prefix: AddressState(now) for prefix in addresses}
+        self.caps: Mapping[Prefix, LevelDecision] = {}  # highest levels, set from outside
+        self.budget = TokenBucket(settings.changes, MINUTE)
+        self.withdrawals, self.withdrawals_at = 0.0, now  # for overload; decays
+        self.unlinked_at = self.withdraw_at = self.listener_closes_at = float("inf")
+        self.budget_available_at = float("inf")  # when the budget allows a delayed change
 
     @property
-    def last(self) -> Look | None:
-        """The last look, as the crowd keeps it."""
-        return self.crowd.last
-
-    def change(self, now: float, terms: Terms, addresses: Iterable[Prefix]) -> None:
-        """New terms; addresses that stay keep their state. Those that went are no longer in `addresses`."""
-        self.terms = self.crowd.terms = terms
-        self.addresses = {prefix: self.addresses.get(prefix) or Address(now) for prefix in addresses}
-        if terms.changes != self.budget.size:
-            self.budget = Bucket(terms.changes, MINUTE)
-
-    def look(self, now: float, look: Look) -> None:
-        if look.linked:
+    def last(self) -> ServerObservation | None:
+        """The last observation."""
+        return self.overload.last
+
+    def reconfigure(self, now: float, settings: LevelSettings, addresses: Iterable[Prefix]) -> None:
+        """Apply new settings and addresses; addresses that remain keep their state."""
+        self.settings = self.overload.settings = settings
+        self.addresses = {prefix: self.addresses.get(prefix) or AddressState(now) for prefix in addresses}
+        if settings.changes != self.budget.size:
+            self.budget = TokenBucket(settings.changes, MINUTE)
+
+    def observe(self, now: float, observation: ServerObservation) -> None:
+        """Add an observation of the server."""
+        if observation.linked:
             self.unlinked_at = float("inf")
         elif self.unlinked_at == float("inf"):
             self.unlinked_at = now
-        self.crowd.look(now, look)
+        self.overload.observe(now, observation)
 
-    def leave(self, now: float, door_at: float) -> None:
-        """The notice of a drain: ops are taken until `door_at`. A second notice changes nothing."""
-        if self.door_at == float("inf"):
-            self.door_at = door_at
-            self.withdraw_at = now + max(0.0, door_at - now) * DRAIN_PART
+    def start_drain(self, now: float, listener_closes_at: float) -> None:
+        """Start a drain; requests are accepted until the listener closes. Further calls have no effect."""
+        if self.listener_closes_at == float("inf"):
+            self.listener_closes_at = listener_closes_at
+            self.withdraw_at = now + max(0.0, listener_closes_at - now) * DEPREFERENCE_DRAIN_SHARE
 
-    def seen(self, prefix: Prefix, others: int) -> None:
-        """How many others announce the address in full, as far as the peers tell."""
+    def set_others(self, prefix: Prefix, others: int) -> None:
+        """Set how many other servers advertise the address at the highest level, as reported by the peers."""
         if prefix in self.addresses:
             self.addresses[prefix].others = others
 
-    def next(self, now: float) -> float:
-        """The next moment at which `settle` may say something else though nothing was told."""
-        steps = [self.withdraw_at if self.withdraw_at > now else float("inf"), self.again_at]
-        for one in self.addresses.values():
-            steps += [at for at in (one.since + self.terms.settle, one.back_at) if at > now]
+    def next_advance_at(self, now: float) -> float:
+        """Return when `advance` must be called next, if nothing else happens."""
+        times = [self.withdraw_at if self.withdraw_at > now else float("inf"), self.budget_available_at]
+        for state in self.addresses.values():
+            times += [at for at in (state.since + self.settings.settle, state.return_at) if at > now]
         if self.last and self.last.warm_at > now:
-            steps.append(self.last.warm_at)
-        return min(steps)
-
-    def settle(self, now: float) -> list[Prefix]:
-        """Move the addresses to what is wanted now, as far as the budget allows; those that moved."""
-        moved, spent, self.again_at = [], False, float("inf")
-        for prefix, one in self.addresses.items():
-            why = self.wanted(now, one)
-            if (cap := self.caps.get(prefix)) and cap.level < why.level:
-                why = cap
-            if why.level == one.level:
-                one.why = why.text
+            times.append(self.last.warm_at)
+        return min(times)
+
+    def advance(self, now: float) -> list[Prefix]:
+        """Change the levels as far as the budget allows; returns the addresses that changed."""
+        changed, budget_used, self.budget_available_at = [], False, float("inf")
+        for prefix, state in self.addresses.items():
+            decision = self.wanted_level(now, state)
+            if (cap := self.caps.get(prefix)) and cap.level < decision.level:
+                decision = cap
+            if decision.level == state.level:
+                state.reason = decision.reason
                 continue
-            price = 2.0 if why.level == Level.WITHDRAWN else 1.0  # the way back must be paid as well
-            if not (why.forced or spent or self.budget.has(now, price)):
-                one.why = f"{one.why.partition(' (')[0]} (budget of changes spent; wanted: {why.text})"
-                self.again_at = min(self.again_at, self.budget.when(now, price))
+            cost = 2.0 if decision.level == Level.WITHDRAWN else 1.0  # includes advertising it again
+            if not (decision.ignores_budget or budget_used or self.budget.has_tokens(now, cost)):
+                state.reason = (
+                    f"{state.reason.partition(' (')[0]} (budget of changes spent; wanted: {decision.reason})"
+                )
+                self.budget_available_at = min(self.budget_available_at, self.budget.available_at(now, cost))
                 continue
-            if not spent:
+            if not budget_used:
                 self.budget.take(now)
-            spent = True
-            self._move(now, one, why)
-            moved.append(prefix)
-        return moved
-
-    def _move(self, now: float, one: Address, why: Why) -> None:
-        if why.level == Level.WITHDRAWN and not why.forced:
-            self.away = self._times_away(now) + 1
-            self.away_at = now
-            one.crowded_out = True
-            one.back_at = now + min(AWAY_TOP, AWAY * self.terms.crowded_after * 2 ** (self.away - 1))
-        elif why.level != Level.WITHDRAWN:
-            one.crowded_out = False
-        one.level, one.why, one.since = why.level, why.text, now
-        one.changes += 1
-
-    def _times_away(self, now: float) -> float:
-        return float(self.away * 0.5 ** (max(0.0, now - self.away_at) / FORGET))
-
-    def wanted(self, now: float, one: Address) -> Why:
-        """The rules, first that holds; docs/bgp.md names each."""
-        look, terms = self.last, self.terms
-        settled = now >= one.since + terms.settle
+            budget_used = True
+            self._move(now, state, decision)
+            changed.append(prefix)
+        return changed
+
+    def _move(self, now: float, state: AddressState, decision: LevelDecision) -> None:
+        """Set an address to a new level."""
+        if decision.level == Level.WITHDRAWN and not decision.ignores_budget:
+            self.withdrawals = self._recent_withdrawals(now) + 1
+            self.withdrawals_at = now
+            state.withdrawn_for_overload = True
+            state.return_at = now + min(
+                MAX_WITHDRAWAL_SECONDS,
+                FIRST_WITHDRAWAL_FACTOR * self.settings.crowded_after * 2 ** (self.withdrawals - 1),
+            )
+        elif decision.level != Level.WITHDRAWN:
+            state.withdrawn_for_overload = False
+        state.level, state.reason, state.since = decision.level, decision.reason, now
+        state.changes += 1
+
+    def _recent_withdrawals(self, now: float) -> float:
+        """Return the decayed number of withdrawals for overload."""
+        return float(self.withdrawals * 0.5 ** (max(0.0, now - self.withdrawals_at) / WITHDRAWALS_HALF_LIFE))
+
+    def wanted_level(self, now: float, state: AddressState) -> LevelDecision:
+        """Return the level that an address should have: the first rule that applies decides."""
+        observation, settings = self.last, self.settings
+        settled = now >= state.since + settings.settle
         if now >= self.withdraw_at:
-            return Why(Level.WITHDRAWN, "drain", True)
-        if look is None or not look.up:
-            return Why(Level.WITHDRAWN, "the processor is not up yet", True)
-        if self.door_at < float("inf"):
-            return Why(min(one.level, Level.LESS), "drain", True)
+            return LevelDecision(Level.WITHDRAWN, "drain", True)
+        if observation is None or not observation.up:
+            return LevelDecision(Level.WITHDRAWN, "the processor is not up yet", True)
+        if self.listener_closes_at < float("inf"):
+            return LevelDecision(min(state.level, Level.LESS), "drain", True)
         if self.unlinked_at <= now:
-            if one.level == Level.FULL:
-                return Why(Level.LESS, "the processor is away", True)
-            gone = one.level == Level.WITHDRAWN or settled
-            return Why(Level.WITHDRAWN if gone else Level.LESS, "the processor is away", True)
-        if one.crowded_out:
-            return self._while_away(now, one)
-        if self.crowd.hot:
-            enough = terms.least_others > 0 and one.others >= terms.least_others
-            if one.level == Level.LESS and settled and enough and self.crowd.stays:
-                return Why(Level.WITHDRAWN, f"crowded, {one.others} others in full")
-            few = "" if enough else f", {one.others} others in full"
-            return Why(Level.LESS, f"crowded{few}", one.level == Level.WITHDRAWN)
-        if look.warm_at > now:
-            return Why(Level.LESS, "cold", one.level == Level.WITHDRAWN)
-        if one.level == Level.WITHDRAWN:  # up by a step at a time
-            return Why(Level.LESS, "coming up", True)
-        if one.level == Level.LESS and not settled:
-            return Why(Level.LESS, one.why)
-        return Why(Level.FULL, "can serve")
-
-    def _while_away(self, now: float, one: Address) -> Why:
-        if one.others < self.terms.least_others:  # the last one out comes back, whatever it costs
-            return Why(Level.LESS, f"crowded, {one.others} others in full", True)
-        if self.crowd.hot or now < one.back_at:
-            return Why(Level.WITHDRAWN, one.why)
-        return Why(Level.LESS, "coming up")
+            if state.level == Level.FULL:
+                return LevelDecision(Level.LESS, "the processor is away", True)
+            withdraw = state.level == Level.WITHDRAWN or settled
+            return LevelDecision(Level.WITHDRAWN if withdraw else Level.LESS, "the processor is away", True)
+        if state.withdrawn_for_overload:
+            return self._wanted_while_withdrawn(now, state)
+        if self.overload.is_overloaded:
+            enough_others = settings.least_others > 0 and state.others >= settings.least_others
+            if state.level == Level.LESS and settled and enough_others and self.overload.is_persistent:
+                return LevelDecision(Level.WITHDRAWN, f"crowded, {state.others} others in full")
+            others_text = "" if enough_others else f", {state.others} others in full"
+            return LevelDecision(Level.LESS, f"crowded{others_text}", state.level == Level.WITHDRAWN)
+        if observation.warm_at > now:
+            return LevelDecision(Level.LESS, "cold", state.level == Level.WITHDRAWN)
+        if state.level == Level.WITHDRAWN:  # levels rise one step at a time
+            return LevelDecision(Level.LESS, "coming up", True)
+        if state.level == Level.LESS and not settled:
+            return LevelDecision(Level.LESS, state.reason)
+        return LevelDecision(Level.FULL, "can serve")
+
+    def _wanted_while_withdrawn(self, now: float, state: AddressState) -> LevelDecision:
+        """Return the wanted level of an address that was withdrawn for overload."""
+        if state.others < self.settings.least_others:  # the path may be needed, even under overload
+            return LevelDecision(Level.LESS, f"crowded, {state.others} others in full", True)
+        if self.overload.is_overloaded or now < state.return_at:
+            return LevelDecision(Level.WITHDRAWN, state.reason)
+        return LevelDecision(Level.LESS, "coming up")
--- a/thymeyoke/bgp/presentation.py
+++ b/thymeyoke/bgp/presentation.py
@@ -1,6 +1,6 @@
-"""What peers show of others: who else announces our addresses, and whether in full. Pure; bounded.
+"""Paths received from peers: which other servers advertise our addresses, and at which level. Pure, no I/O.
 
-Paths to other prefixes are passed over. One address keeps at most `PATHS` paths of a peer, the rest are
+Paths to other prefixes are ignored. At most `MAX_PATHS` paths per peer and address are kept; further ones are
 counted.
 """
 
@@ -11,42 +11,50 @@
 from ipaddress import ip_address
 from typing import NamedTuple
 
-from thymeyoke.bgp.attributes import GRACEFUL_SHUTDOWN, MARK, Heard, Path
+from thymeyoke.bgp.attributes import GRACEFUL_SHUTDOWN, INSTANCE_COMMUNITY, Path, ReceivedUpdate
 from thymeyoke.bgp.configuration import Prefix
-from thymeyoke.bgp.wire import IPV4, IPV6, Family, Nlri, Refresh
+from thymeyoke.bgp.wire import IPV4, IPV6, Family, Nlri, RouteRefresh
 
-PATHS = 64
+MAX_PATHS = 64
 
-Place = tuple[Family, int, bytes]  # an address as the codec has it
+PrefixKey = tuple[Family, int, bytes]  # family, prefix length, address
 
 
-class Other(NamedTuple):
-    """Somebody's path: who, told by our mark, the route reflector's word, or the next hop; and whether in
-    full."""
+class OtherAdvertiser(NamedTuple):
+    """Another server that advertises an address, and whether at the highest level.
 
-    who: bytes
-    full: bool
+    `announcer` is its identifier from our large community, the originator ID of a route reflector, or the
+    next hop.
+    """
 
+    announcer: bytes
+    is_preferred: bool
 
-def place(prefix: Prefix) -> Place:
+
+def prefix_key(prefix: Prefix) -> PrefixKey:
+    """Return the key of a prefix, in terms of the codec."""
     family = IPV4 if prefix.version == 4 else IPV6
     return family, prefix.prefixlen, prefix.network_address.packed
 
 
-def nlri(prefix: Prefix) -> Nlri:
+def to_nlri(prefix: Prefix) -> Nlri:
+    """Convert a prefix to NLRI."""
     return Nlri(prefix.prefixlen, prefix.network_address.packed)
 
 
-def who(path: Path, as_: int) -> bytes:
-    """An instance of ours is known by its mark, whatever next hop a router has set; else by what is told."""
-    for first, kind, id_ in path.large:
-        if (first, kind) == (as_, MARK):
+def announcer_of(path: Path, as_: int) -> bytes:
+    """Return who advertises a path.
+
+    Our large community identifies our servers even if a router has changed the next hop.
+    """
+    for first, kind, id_ in path.large_communities:
+        if (first, kind) == (as_, INSTANCE_COMMUNITY):
             return id_.to_bytes(4, "big")
-    return path.originator or path.next_hop
+    return path.originator_id or path.next_hop
 
 
-def full(path: Path, med: int) -> bool:
-    """Not less preferred, by any of the ways that instances say so."""
+def is_preferred(path: Path, med: int) -> bool:
+    """Return whether a path has none of the attributes that mark it as less preferred."""
     return (
         GRACEFUL_SHUTDOWN not in path.communities
         and (path.med is None or path.med < med)
@@ -54,85 +62,113 @@
     )
 
 
-class Shown:
-    """All peers' paths to our addresses. A peer's go with its session, a path with its withdrawal."""
+class ReceivedPaths:
+    """The paths of all peers to our addresses; removed with a withdrawal or with the peer's session."""
 
-    def __init__(self, as_: int, own: Iterable[bytes], med: int, prefixes: Iterable[Prefix]) -> None:
-        """`own`: our identifier and next hops, by which a path that comes back is known."""
-        self.counts: Counter[str] = Counter()
-        self.paths: dict[str, dict[Place, dict[int | None, Other]]] = {}
-        self.stale: dict[str, set[tuple[Place, int | None]]] = {}  # within a refresh, RFC 7313 section 4
-        self.change(as_, own, med, prefixes)
-
-    def change(self, as_: int, own: Iterable[bytes], med: int, prefixes: Iterable[Prefix]) -> None:
-        self.as_, self.own, self.med = as_, frozenset(own), med
-        self.places = {place(prefix): prefix for prefix in prefixes}
+    def __init__(
+        self, as_: int, own_identifiers: Iterable[bytes], med: int, prefixes: Iterable[Prefix]
+    ) -> None:
+        """Create an empty table.
+
+        `own_identifiers` are our identifier and next hops, to recognize our own paths.
+        """
+        self.counters: Counter[str] = Counter()
+        self.paths: dict[str, dict[PrefixKey, dict[int | None, OtherAdvertiser]]] = {}
+        self.stale: dict[
+            str, set[tuple[PrefixKey, int | None]]
+        ] = {}  # paths not sent again yet during a refresh (RFC 7313)
+        self.reconfigure(as_, own_identifiers, med, prefixes)
+
+    def reconfigure(
+        self, as_: int, own_identifiers: Iterable[bytes], med: int, prefixes: Iterable[Prefix]
+    ) -> None:
+        """Set our identifiers and addresses; paths to other addresses are removed."""
+        self.as_, self.own_identifiers, self.med = as_, frozenset(own_identifiers), med
+        self.prefixes_by_key = {prefix_key(prefix): prefix for prefix in prefixes}
         for paths in self.paths.values():
-            for where in [where for where in paths if where not in self.places]:
-                del paths[where]
+            for key in [key for key in paths if key not in self.prefixes_by_key]:
+                del paths[key]
 
-    def heard(self, peer: str, what: Heard) -> None:
+    def receive_update(self, peer: str, update: ReceivedUpdate) -> None:
+        """Apply an update of a peer."""
         paths = self.paths.setdefault(peer, {})
-        for family, one in what.withdrawn:
-            self._drop(peer, paths, (family, one.bits, one.net), one.path)
-        if not what.reached or what.path is None:
+        for family, nlri in update.withdrawn:
+            self._remove(peer, paths, (family, nlri.prefix_length, nlri.address), nlri.path_id)
+        if not update.advertised or update.path is None:
             return
-        other = Other(who(what.path, self.as_), full(what.path, self.med))
-        for family, one in what.reached:
-            where = (family, one.bits, one.net)
-            if where not in self.places:
+        other = OtherAdvertiser(announcer_of(update.path, self.as_), is_preferred(update.path, self.med))
+        for family, nlri in update.advertised:
+            key = (family, nlri.prefix_length, nlri.address)
+            if key not in self.prefixes_by_key:
                 continue
-            if other.who in self.own:  # our own announcement, come back: it may stand in for another's path
-                self._drop(peer, paths, where, one.path)
+            if other.announcer in self.own_identifiers:
+                # Our own path has come back; it may have replaced the path of another server.
+                self._remove(peer, paths, key, nlri.path_id)
                 continue
-            many = paths.setdefault(where, {})
-            if one.path not in many and len(many) >= PATHS:
-                self.counts["paths_left_out"] += 1
+            paths_by_id = paths.setdefault(key, {})
+            if nlri.path_id not in paths_by_id and len(paths_by_id) >= MAX_PATHS:
+                self.counters["paths_left_out"] += 1
                 continue
-            many[one.path] = other
-            self.stale.get(peer, set()).discard((where, one.path))
-
-    def _drop(
-        self, peer: str, paths: dict[Place, dict[int | None, Other]], where: Place, path: int | None
+            paths_by_id[nlri.path_id] = other
+            self.stale.get(peer, set()).discard((key, nlri.path_id))
+
+    def _remove(
+        self,
+        peer: str,
+        paths: dict[PrefixKey, dict[int | None, OtherAdvertiser]],
+        key: PrefixKey,
+        path: int | None,
     ) -> None:
-        if many := paths.get(where):
-            many.pop(path, None)
-            if not many:
-                del paths[where]
-        self.stale.get(peer, set()).discard((where, path))
-
-    def refreshed(self, peer: str, said: Refresh) -> None:
-        """The beginning and the end of a refresh: what was not told again in between is gone."""
+        """Remove one path."""
+        if paths_by_id := paths.get(key):
+            paths_by_id.pop(path, None)
+            if not paths_by_id:
+                del paths[key]
+        self.stale.get(peer, set()).discard((key, path))
+
+    def receive_refresh(self, peer: str, message: RouteRefresh) -> None:
+        """Handle the begin or end of a refresh: paths that were not sent again in between are removed."""
         paths = self.paths.get(peer, {})
-        if said.kind == 1:
-            mine = {(at, path) for at, many in paths.items() if at[0] == said.family for path in many}
-            self.stale[peer] = self.stale.get(peer, set()) | mine
-        elif said.kind == 2:
-            for where, path in [old for old in self.stale.get(peer, set()) if old[0][0] == said.family]:
-                self._drop(peer, paths, where, path)
-
-    def lost(self, peer: str) -> None:
+        if message.subtype == 1:
+            current = {
+                (at, path)
+                for at, paths_by_id in paths.items()
+                if at[0] == message.family
+                for path in paths_by_id
+            }
+            self.stale[peer] = self.stale.get(peer, set()) | current
+        elif message.subtype == 2:
+            for key, path in [
+                stale for stale in self.stale.get(peer, set()) if stale[0][0] == message.family
+            ]:
+                self._remove(peer, paths, key, path)
+
+    def remove_peer(self, peer: str) -> None:
+        """Remove all paths of a peer."""
         self.paths.pop(peer, None)
         self.stale.pop(peer, None)
 
-    def others(self, prefix: Prefix) -> int:
-        """How many others announce it in full. One that any peer shows as less preferred is not counted."""
-        where = place(prefix)
-        found: dict[bytes, bool] = {}
+    def count_others(self, prefix: Prefix) -> int:
+        """Count the others that advertise an address at the highest level, according to every peer."""
+        key = prefix_key(prefix)
+        is_preferred_by_announcer: dict[bytes, bool] = {}
         for paths in self.paths.values():
-            for other in paths.get(where, {}).values():
-                found[other.who] = found.get(other.who, True) and other.full
-        return sum(found.values())
-
-    def known(self, prefix: Prefix) -> list[dict[str, str | bool]]:
-        """For people: by which peer, who, whether in full."""
-        where = place(prefix)
+            for other in paths.get(key, {}).values():
+                is_preferred_by_announcer[other.announcer] = (
+                    is_preferred_by_announcer.get(other.announcer, True) and other.is_preferred
+                )
+        return sum(is_preferred_by_announcer.values())
+
+    def describe(self, prefix: Prefix) -> list[dict[str, str | bool]]:
+        """Return plain values for operators: peer, identifier, and whether at the highest level."""
+        key = prefix_key(prefix)
         return [
-            {"peer": peer, "who": _dotted(other.who), "in_full": other.full}
+            {"peer": peer, "who": _format_identifier(other.announcer), "in_full": other.is_preferred}
             for peer, paths in self.paths.items()
-            for other in paths.get(where, {}).values()
+            for other in paths.get(key, {}).values()
         ]
 
 
-def _dotted(who: bytes) -> str:
+def _format_identifier(who: bytes) -> str:
+    """Format an identifier as an IP address if it has the size of one."""
     return str(ip_address(who)) if len(who) in (4, 16) else who.hex()
--- a/thymeyoke/bgp/routes.py
+++ b/thymeyoke/bgp/routes.py
@@ -1,45 +1,60 @@
-"""What a peer holds of ours against what it should: the difference as UPDATEs. Pure."""
+"""Computes the updates that bring a peer from the routes it holds to the wanted ones. Pure, no I/O."""
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 
-from thymeyoke.bgp.attributes import Route, announcement, withdrawal
+from thymeyoke.bgp.attributes import Route, advertisement, withdrawal
 from thymeyoke.bgp.configuration import Announce, Peer, Prefix
 from thymeyoke.bgp.controller import Level
-from thymeyoke.bgp.presentation import nlri, place
-from thymeyoke.bgp.wire import Agreed, Family, Update
+from thymeyoke.bgp.presentation import prefix_key, to_nlri
+from thymeyoke.bgp.wire import Family, NegotiatedOptions, Update
 
 
-def route(told: Announce, peer: Peer, prefix: Prefix, level: Level) -> Route | None:
-    """How an address is announced to a peer at a level; None where it is not."""
+def route_for(settings: Announce, peer: Peer, prefix: Prefix, level: Level) -> Route | None:
+    """Return the route for an address at a level; None if it is not advertised."""
     if level == Level.WITHDRAWN:
         return None
-    hop = next(hop.packed for hop in told.next_hop if hop.version == prefix.version)
-    less = told.less if level == Level.LESS else ()
-    return Route(told.as_, told.id.packed, peer.as_ == told.as_, hop, less, told.med, told.prepend)
+    next_hop = next(next_hop.packed for next_hop in settings.next_hop if next_hop.version == prefix.version)
+    less = settings.less if level == Level.LESS else ()
+    return Route(
+        settings.as_,
+        settings.id.packed,
+        peer.as_ == settings.as_,
+        next_hop,
+        less,
+        settings.med,
+        settings.prepend,
+    )
 
 
-def difference(
-    told: Announce, peer: Peer, wanted: Mapping[Prefix, Level], sent: Mapping[Prefix, Route], agreed: Agreed
+def route_changes(
+    settings: Announce,
+    peer: Peer,
+    wanted_levels: Mapping[Prefix, Level],
+    sent_routes: Mapping[Prefix, Route],
+    negotiated: NegotiatedOptions,
 ) -> tuple[list[Update], dict[Prefix, Route]]:
-    """UPDATEs that bring the peer from `sent` to `wanted`, withdrawals first, and what it holds after them.
-    Addresses of one family and one route go together; a family that was not agreed on is left out."""
-    after: dict[Prefix, Route] = {}
-    for prefix, level in wanted.items():
-        one = route(told, peer, prefix, level)
-        if one is not None and place(prefix)[0] in agreed.families:
-            after[prefix] = one
-    gone: dict[Family, list[Prefix]] = {}
-    for prefix in sent:
-        if prefix not in after:
-            gone.setdefault(place(prefix)[0], []).append(prefix)
-    new: dict[tuple[Family, Route], list[Prefix]] = {}
-    for prefix, one in after.items():
-        if sent.get(prefix) != one:
-            new.setdefault((place(prefix)[0], one), []).append(prefix)
-    updates = [withdrawal(tuple(map(nlri, many)), family) for family, many in gone.items()]
+    """Return the updates from `sent_routes` to `wanted_levels`, withdrawals first, and the routes after them.
+
+    Addresses with the same family and route share an update; families that were not negotiated are skipped.
+    """
+    new_routes: dict[Prefix, Route] = {}
+    for prefix, level in wanted_levels.items():
+        route = route_for(settings, peer, prefix, level)
+        if route is not None and prefix_key(prefix)[0] in negotiated.families:
+            new_routes[prefix] = route
+    withdrawn: dict[Family, list[Prefix]] = {}
+    for prefix in sent_routes:
+        if prefix not in new_routes:
+            withdrawn.setdefault(prefix_key(prefix)[0], []).append(prefix)
+    changed: dict[tuple[Family, Route], list[Prefix]] = {}
+    for prefix, route in new_routes.items():
+        if sent_routes.get(prefix) != route:
+            changed.setdefault((prefix_key(prefix)[0], route), []).append(prefix)
+    updates = [withdrawal(tuple(map(to_nlri, prefixes)), family) for family, prefixes in withdrawn.items()]
     updates += [
-        announcement(one, tuple(map(nlri, many)), family, agreed) for (family, one), many in new.items()
+        advertisement(route, tuple(map(to_nlri, prefixes)), family, negotiated)
+        for (family, route), prefixes in changed.items()
     ]
-    return updates, after
+    return updates, new_routes
--- a/thymeyoke/bgp/session.py
+++ b/thymeyoke/bgp/session.py
@@ -1,10 +1,9 @@
-"""One BGP session's state machine, RFC 4271 section 8, as a table. Pure: events in, actions out, timers as
-moments.
+"""State machine of a BGP session, RFC 4271 section 8. Pure: events in, actions out, timers as points in time.
 
-`TABLE` has a row for every state and event, `Session` carries rows out. What is off, by the names of
-section 8.1.1: DelayOpen, SendNOTIFICATIONwithoutOPEN, CollisionDetectEstablishedState; on:
-DampPeerOscillations. One departure: a NOTIFICATION is never answered with one (section 6.4 leaves an error
-in it unreported), where the table of 8.2.2 would say FSM error.
+`TRANSITIONS` has a row for each state and event; `Session` executes the rows. Of the optional attributes in
+section 8.1.1, DampPeerOscillations is on; DelayOpen, SendNOTIFICATIONwithoutOPEN and
+CollisionDetectEstablishedState are off. One deviation: a NOTIFICATION is never answered with another one
+(section 6.4), where the table in section 8.2.2 has an FSM error.
 """
 
 from __future__ import annotations
@@ -14,17 +13,19 @@
 from typing import NamedTuple
 
 from thymeyoke.bgp import attributes, wire
-from thymeyoke.bgp.wire import Cap, Capability, Code, Family, Open, Wrong
+from thymeyoke.bgp.wire import Capability, CapabilityCode, ErrorCode, Family, Open, ProtocolError
 
-LARGE_HOLD = 4  # times the hold time told: how long a peer has for its OPEN
-KEEPALIVES = 3  # in a hold time, RFC 4271 section 4.4
-JITTER = 0.75  # the least part of a timer's span, section 10
-IDLE = 1 / 3  # of the hold time told: the first idle hold
-DOUBLINGS = 6  # of it, at the most
-CALM = 20  # hold times in which the penalty for flaps halves
+OPEN_HOLD_FACTOR = 4  # of the hold time: time for the peer to send its OPEN
+KEEPALIVES_PER_HOLD_TIME = 3  # RFC 4271 section 4.4
+MIN_JITTER = 0.75  # smallest factor of a jittered timer, RFC 4271 section 10
+IDLE_HOLD_FACTOR = 1 / 3  # of the hold time: first delay before reconnecting
+MAX_DOUBLINGS = 6  # of the delay before reconnecting
+FLAP_HALF_LIFE_FACTOR = 20  # of the hold time: half-life of the flap penalty
 
 
 class State(IntEnum):
+    """States of section 8.2.2."""
+
     IDLE = 0
     CONNECT = 1
     ACTIVE = 2
@@ -34,7 +35,7 @@
 
 
 class Event(IntEnum):
-    """By the numbers of section 8.1; REFRESH is RFC 2918's, SEND_HOLD_EXPIRES RFC 9687's."""
+    """Events with the numbers of section 8.1; REFRESH is from RFC 2918, SEND_HOLD_EXPIRES from RFC 9687."""
 
     STOP = 2
     START = 3
@@ -60,6 +61,8 @@
 
 
 class Timer(Enum):
+    """Timers, by the event that each one causes."""
+
     RETRY = Event.RETRY_EXPIRES
     HOLD = Event.HOLD_EXPIRES
     KEEPALIVE = Event.KEEPALIVE_EXPIRES
@@ -68,122 +71,146 @@
 
 
 @unique
-class Do(Enum):
-    DIAL = "open the transport connection"
-    DROP = "close it"
-    OPEN = "send OPEN"
-    KEEPALIVE = "send KEEPALIVE"
-    NOTIFY = "send the NOTIFICATION that the event calls for"
-    RETRY_ON = "restart the ConnectRetryTimer"
-    RETRY_OFF = "stop the ConnectRetryTimer"
-    COUNT = "one more flap"
-    LARGE = "set the HoldTimer to a large value"
-    HOLD = "restart the HoldTimer with the negotiated value"
-    KEEP_ON = "restart the KeepaliveTimer"
-    IDLE_ON = "start the IdleHoldTimer"
-    IDLE_OFF = "stop the IdleHoldTimer"
-    UP = "announce"
-    RELEASE = "forget what the peer announced"
-    TAKE = "take what the message says"
-
-
-class Row(NamedTuple):
-    does: tuple[Do, ...]
-    to: State
+class Effect(Enum):
+    """Effects of a transition, in the order of the row."""
+
+    CONNECT = "open the transport connection"
+    CLOSE = "close it"
+    SEND_OPEN = "send OPEN"
+    SEND_KEEPALIVE = "send KEEPALIVE"
+    SEND_NOTIFICATION = "send the NOTIFICATION that the event calls for"
+    START_RETRY = "restart the ConnectRetryTimer"
+    STOP_RETRY = "stop the ConnectRetryTimer"
+    COUNT_FLAP = "one more flap"
+    START_OPEN_HOLD = "set the HoldTimer to a large value"
+    RESTART_HOLD = "restart the HoldTimer with the negotiated value"
+    RESTART_KEEPALIVE = "restart the KeepaliveTimer"
+    START_IDLE_HOLD = "start the IdleHoldTimer"
+    STOP_IDLE_HOLD = "stop the IdleHoldTimer"
+    SESSION_UP = "announce"
+    RELEASE_ROUTES = "forget what the peer announced"
+    DELIVER = "take what the message says"
+
+
+class Transition(NamedTuple):
+    """A row of the table: effects and next state."""
+
+    effects: tuple[Effect, ...]
+    next_state: State
 
 
 # Actions.
 
 
-class Dial(NamedTuple):
+class Connect(NamedTuple):
+    """Open a transport connection."""
+
     pass
 
 
-class Drop(NamedTuple):
-    """Close the transport. `said`: a NOTIFICATION went before it, which should still arrive."""
+class CloseConnection(NamedTuple):
+    """Close the transport; if `notified`, a NOTIFICATION was sent before and should still arrive."""
+
+    notified: bool
 
-    said: bool
 
+class SendMessage(NamedTuple):
+    """Send a message."""
 
-class Send(NamedTuple):
     message: wire.Message
 
 
-class Up(NamedTuple):
-    agreed: wire.Agreed
+class SessionUp(NamedTuple):
+    """The session is established."""
+
+    negotiated: wire.NegotiatedOptions
+
+
+class SessionDown(NamedTuple):
+    """The session is no longer established; the peer's routes are invalid."""
 
 
-class Down(NamedTuple):
-    """It was established and is no longer: what the peer announced is forgotten."""
+class UpdateReceived(NamedTuple):
+    """An update was received."""
 
+    update: attributes.ReceivedUpdate
 
-class Took(NamedTuple):
-    heard: attributes.Heard
 
+class RefreshReceived(NamedTuple):
+    """A ROUTE-REFRESH was received."""
 
-class Refreshed(NamedTuple):
-    said: wire.Refresh
+    message: wire.RouteRefresh
 
 
-Action = Dial | Drop | Send | Up | Down | Took | Refreshed
+Action = Connect | CloseConnection | SendMessage | SessionUp | SessionDown | UpdateReceived | RefreshReceived
 
 
-def _table() -> dict[tuple[State, Event], Row]:
-    S, E, D = State, Event, Do
-    end = (D.RETRY_OFF, D.DROP, D.COUNT, D.IDLE_ON)
-    quiet_end = (D.RETRY_OFF, D.DROP, D.IDLE_ON)  # not the peer's flap
-    rows: dict[tuple[State, Event], Row] = {}
+def _table() -> dict[tuple[State, Event], Transition]:
+    """Build the transition table."""
+    S, E, D = State, Event, Effect  # noqa: N806 (short, for a readable table)
+    end = (D.STOP_RETRY, D.CLOSE, D.COUNT_FLAP, D.START_IDLE_HOLD)
+    quiet_end = (D.STOP_RETRY, D.CLOSE, D.START_IDLE_HOLD)  # not counted as a flap
+    rows: dict[tuple[State, Event], Transition] = {}
 
-    def put(state: State, does: tuple[Do, ...], to: State, *events: Event) -> None:
+    def put(state: State, effects: tuple[Effect, ...], to: State, *events: Event) -> None:
         for event in events:
-            rows[state, event] = Row(does, to)
+            rows[state, event] = Transition(effects, to)
 
-    # Idle: all is refused but a start; a connection that comes up late is closed.
+    # Idle: only a start has an effect; a late connection is closed.
     put(S.IDLE, (), S.IDLE, *E)
-    put(S.IDLE, (D.IDLE_OFF,), S.IDLE, E.STOP)
-    put(S.IDLE, (D.IDLE_OFF, D.RETRY_ON, D.DIAL), S.CONNECT, E.START, E.IDLE_HOLD_EXPIRES)
-    put(S.IDLE, (D.IDLE_OFF, D.RETRY_ON), S.ACTIVE, E.START_PASSIVE)
-    put(S.IDLE, (D.DROP,), S.IDLE, E.TCP_UP)
+    put(S.IDLE, (D.STOP_IDLE_HOLD,), S.IDLE, E.STOP)
+    put(S.IDLE, (D.STOP_IDLE_HOLD, D.START_RETRY, D.CONNECT), S.CONNECT, E.START, E.IDLE_HOLD_EXPIRES)
+    put(S.IDLE, (D.STOP_IDLE_HOLD, D.START_RETRY), S.ACTIVE, E.START_PASSIVE)
+    put(S.IDLE, (D.CLOSE,), S.IDLE, E.TCP_UP)
 
     for state in (S.CONNECT, S.ACTIVE):
         put(state, end, S.IDLE, *E)
         put(state, (), state, E.START, E.START_PASSIVE)
-        put(state, (D.RETRY_OFF, D.DROP), S.IDLE, E.STOP)
-        put(state, (D.RETRY_OFF, D.OPEN, D.LARGE), S.OPEN_SENT, E.TCP_UP)
+        put(state, (D.STOP_RETRY, D.CLOSE), S.IDLE, E.STOP)
+        put(state, (D.STOP_RETRY, D.SEND_OPEN, D.START_OPEN_HOLD), S.OPEN_SENT, E.TCP_UP)
         put(state, quiet_end, S.IDLE, E.NOTIFICATION_VERSION)
-    put(S.CONNECT, (D.DROP, D.RETRY_ON, D.DIAL), S.CONNECT, E.RETRY_EXPIRES)
-    put(S.ACTIVE, (D.RETRY_ON, D.DIAL), S.CONNECT, E.RETRY_EXPIRES)
+    put(S.CONNECT, (D.CLOSE, D.START_RETRY, D.CONNECT), S.CONNECT, E.RETRY_EXPIRES)
+    put(S.ACTIVE, (D.START_RETRY, D.CONNECT), S.CONNECT, E.RETRY_EXPIRES)
 
     for state in (S.OPEN_SENT, S.OPEN_CONFIRM, S.ESTABLISHED):
-        lost = (D.RELEASE,) if state == S.ESTABLISHED else ()
-        put(state, (D.NOTIFY, *lost, *end), S.IDLE, *E)  # FSM error where nothing else is said
+        lost = (D.RELEASE_ROUTES,) if state == S.ESTABLISHED else ()
+        put(state, (D.SEND_NOTIFICATION, *lost, *end), S.IDLE, *E)  # FSM error unless overwritten below
         put(state, (), state, E.START, E.START_PASSIVE)
-        put(state, (D.NOTIFY, *lost, D.RETRY_OFF, D.DROP), S.IDLE, E.STOP)
+        put(state, (D.SEND_NOTIFICATION, *lost, D.STOP_RETRY, D.CLOSE), S.IDLE, E.STOP)
         put(state, (*lost, *end), S.IDLE, E.TCP_FAILS, E.NOTIFICATION)
         put(state, (*lost, *quiet_end), S.IDLE, E.NOTIFICATION_VERSION)
-    put(S.OPEN_SENT, (D.DROP, D.COUNT, D.RETRY_ON), S.ACTIVE, E.TCP_FAILS)
-    put(S.OPEN_SENT, (D.RETRY_OFF, D.KEEPALIVE, D.HOLD, D.KEEP_ON), S.OPEN_CONFIRM, E.OPEN)
-    put(S.OPEN_CONFIRM, (D.HOLD, D.UP), S.ESTABLISHED, E.KEEPALIVE)
+    put(S.OPEN_SENT, (D.CLOSE, D.COUNT_FLAP, D.START_RETRY), S.ACTIVE, E.TCP_FAILS)
+    put(
+        S.OPEN_SENT,
+        (D.STOP_RETRY, D.SEND_KEEPALIVE, D.RESTART_HOLD, D.RESTART_KEEPALIVE),
+        S.OPEN_CONFIRM,
+        E.OPEN,
+    )
+    put(S.OPEN_CONFIRM, (D.RESTART_HOLD, D.SESSION_UP), S.ESTABLISHED, E.KEEPALIVE)
     for state in (S.OPEN_CONFIRM, S.ESTABLISHED):
-        put(state, (D.KEEPALIVE, D.KEEP_ON), state, E.KEEPALIVE_EXPIRES)
-    put(S.ESTABLISHED, (D.HOLD,), S.ESTABLISHED, E.KEEPALIVE)
-    put(S.ESTABLISHED, (D.HOLD, D.TAKE), S.ESTABLISHED, E.UPDATE)
-    put(S.ESTABLISHED, (D.TAKE,), S.ESTABLISHED, E.REFRESH)
+        put(state, (D.SEND_KEEPALIVE, D.RESTART_KEEPALIVE), state, E.KEEPALIVE_EXPIRES)
+    put(S.ESTABLISHED, (D.RESTART_HOLD,), S.ESTABLISHED, E.KEEPALIVE)
+    put(S.ESTABLISHED, (D.RESTART_HOLD, D.DELIVER), S.ESTABLISHED, E.UPDATE)
+    put(S.ESTABLISHED, (D.DELIVER,), S.ESTABLISHED, E.REFRESH)
     return rows
 
 
-TABLE = _table()
-OWN = {  # the NOTIFICATION of events that no message brings
-    Event.STOP: (Code.CEASE, 2), Event.HOLD_EXPIRES: (Code.HOLD, 0), Event.COLLISION: (Code.CEASE, 7),
-    Event.SEND_HOLD_EXPIRES: (Code.SEND_HOLD, 0),
-}  # fmt: skip
+TRANSITIONS = _table()
+EVENT_NOTIFICATIONS = {  # code and subcode for events without a message
+    Event.STOP: (ErrorCode.CEASE, 2),
+    Event.HOLD_EXPIRES: (ErrorCode.HOLD, 0),
+    Event.COLLISION: (ErrorCode.CEASE, 7),
+    Event.SEND_HOLD_EXPIRES: (ErrorCode.SEND_HOLD, 0),
+}
 
 
-WAITS = dict.fromkeys((Event.START, Event.IDLE_HOLD_EXPIRES, Event.RETRY_EXPIRES), Event.START_PASSIVE)
+PASSIVE_EVENTS = dict.fromkeys(
+    (Event.START, Event.IDLE_HOLD_EXPIRES, Event.RETRY_EXPIRES), Event.START_PASSIVE
+)
 
 
-class Mine(NamedTuple):
-    """What this side says in its OPEN, and of whom it expects one. `hold` in seconds."""
+class LocalParameters(NamedTuple):
+    """What this side sends in its OPEN, and the AS that it expects. `hold` is in seconds."""
 
     as_: int
     id: bytes
@@ -193,223 +220,266 @@
 
     @property
     def internal(self) -> bool:
+        """Whether the peer belongs to the same AS."""
         return self.as_ == self.peer_as
 
     def open(self) -> Open:
+        """Build the OPEN message."""
         told = [
-            Capability(Cap.MULTIPROTOCOL, f.afi.to_bytes(2, "big") + bytes((0, f.safi)))
+            Capability(CapabilityCode.MULTIPROTOCOL, f.afi.to_bytes(2, "big") + bytes((0, f.safi)))
             for f in self.families
         ]
-        told += [Capability(code, b"") for code in (Cap.ROUTE_REFRESH, Cap.EXTENDED_MESSAGE)]
-        told.append(Capability(Cap.AS4, self.as_.to_bytes(4, "big")))
+        told += [
+            Capability(code, b"") for code in (CapabilityCode.ROUTE_REFRESH, CapabilityCode.EXTENDED_MESSAGE)
+        ]
+        told.append(Capability(CapabilityCode.AS4, self.as_.to_bytes(4, "big")))
         receive = b"".join(f.afi.to_bytes(2, "big") + bytes((f.safi, 1)) for f in self.families)
-        told += [Capability(Cap.ADD_PATH, receive), Capability(Cap.ENHANCED_REFRESH, b"")]
+        told += [
+            Capability(CapabilityCode.ADD_PATH, receive),
+            Capability(CapabilityCode.ENHANCED_REFRESH, b""),
+        ]
         return Open(self.as_ if self.as_ <= 0xFFFF else wire.AS_TRANS, self.hold, self.id, tuple(told))
 
-    def check(self, theirs: Open) -> None:
-        """RFC 4271 section 6.2. A hold time of 0 is turned away too: a dead process would stay announced."""
-        if theirs.as_ != self.peer_as or (theirs.as2 != theirs.as_ and theirs.as2 != wire.AS_TRANS):
-            raise Wrong(Code.OPEN, 2)
-        if theirs.id == bytes(4) or (self.internal and theirs.id == self.id):  # RFC 6286 section 2.1
-            raise Wrong(Code.OPEN, 3)
-        if theirs.hold < 3:
-            raise Wrong(Code.OPEN, 6)
-        if not theirs.families & set(self.families):
+    def check(self, peer_open: Open) -> None:
+        """Check the peer's OPEN (RFC 4271 section 6.2); raises `ProtocolError`.
+
+        A hold time of 0 is rejected too, because routes of a dead process would remain.
+        """
+        if peer_open.as_ != self.peer_as or (
+            peer_open.two_byte_as != peer_open.as_ and peer_open.two_byte_as != wire.AS_TRANS
+        ):
+            raise ProtocolError(ErrorCode.OPEN, 2)
+        if peer_open.id == bytes(4) or (self.internal and peer_open.id == self.id):  # RFC 6286 section 2.1
+            raise ProtocolError(ErrorCode.OPEN, 3)
+        if peer_open.hold < 3:
+            raise ProtocolError(ErrorCode.OPEN, 6)
+        if not peer_open.families & set(self.families):
             wanted = self.open().capabilities[: len(self.families)]
-            raise Wrong(Code.OPEN, 7, b"".join(bytes((code, len(value))) + value for code, value in wanted))
+            raise ProtocolError(
+                ErrorCode.OPEN, 7, b"".join(bytes((code, len(value))) + value for code, value in wanted)
+            )
 
 
-class Penalty:
-    """Flaps weigh 1 each and halve with quiet: the idle hold doubles with each unit, up to `DOUBLINGS`
-    times."""
+class FlapDamping:
+    """Penalty for flaps, which halves over time.
+
+    Delays before reconnecting double with each unit, up to `MAX_DOUBLINGS` times.
+    """
 
     def __init__(self, half_life: float) -> None:
-        self.half_life, self.weight, self.at = half_life, 0.0, 0.0
+        self.half_life, self.weight, self.updated_at = half_life, 0.0, 0.0
 
-    def now(self, now: float) -> float:
-        return float(self.weight * 0.5 ** (max(0.0, now - self.at) / self.half_life))
+    def current(self, now: float) -> float:
+        """Return the decayed penalty."""
+        return float(self.weight * 0.5 ** (max(0.0, now - self.updated_at) / self.half_life))
 
-    def flap(self, now: float) -> None:
-        self.weight, self.at = min(2.0 * DOUBLINGS, self.now(now) + 1), now
+    def add_flap(self, now: float) -> None:
+        """Add the penalty of one flap."""
+        self.weight, self.updated_at = min(2.0 * MAX_DOUBLINGS, self.current(now) + 1), now
 
-    def factor(self, now: float) -> float:
-        return float(2.0 ** min(DOUBLINGS, max(0.0, self.now(now) - 1)))
+    def delay_factor(self, now: float) -> float:
+        """Return the factor for reconnect delays."""
+        return float(2.0 ** min(MAX_DOUBLINGS, max(0.0, self.current(now) - 1)))
 
 
 class Session:
-    """One connection's machine. `timers` holds what is running; a timer that is not in it is stopped."""
+    """State machine of one connection. `timers` has the running timers and when they expire."""
 
     def __init__(
-        self, mine: Mine, rng: Random, penalty: Penalty | None = None, passive: bool = False
+        self, local: LocalParameters, rng: Random, damping: FlapDamping | None = None, passive: bool = False
     ) -> None:
-        self.mine, self.rng, self.passive = mine, rng, passive
-        self.penalty = penalty or Penalty(CALM * mine.hold)
+        self.local, self.rng, self.passive = local, rng, passive
+        self.damping = damping or FlapDamping(FLAP_HALF_LIFE_FACTOR * local.hold)
         self.state, self.since = State.IDLE, 0.0
         self.timers: dict[Timer, float] = {}
-        self.hold = float(mine.hold)  # as negotiated, once it is
-        self.theirs: Open | None = None
-        self.agreed = wire.Agreed()
-        self.flaps, self.error, self.error_at = 0, "", 0.0  # `error`: the last one's name
+        self.hold = float(local.hold)  # negotiated with the OPEN
+        self.peer_open: Open | None = None
+        self.negotiated = wire.NegotiatedOptions()
+        self.flaps, self.error, self.error_at = 0, "", 0.0  # last error and its time
         self.last_event: Event | None = None
-        self.out: list[Action] = []
+        self.actions: list[Action] = []
 
-    # What is heard.
+    # Inputs.
 
-    def hear(self, now: float, event: Event, said: Wrong | None = None) -> list[Action]:
-        """An event without a message, or with the error that a message led to."""
-        self._step(now, event, said, None)
-        return self._taken()
+    def handle_event(self, now: float, event: Event, message: ProtocolError | None = None) -> list[Action]:
+        """Handle an event without a message, or with the error that a message caused."""
+        self._handle(now, event, message, None)
+        return self._take_actions()
 
-    def take(self, now: float, message: wire.Message) -> list[Action]:
-        """A message that could be decoded."""
+    def receive(self, now: float, message: wire.Message) -> list[Action]:
+        """Handle a decoded message."""
         try:
-            event, found = self._event(message)
-        except Wrong as error:
-            kind = Event.OPEN_ERROR if error.code == Code.OPEN else Event.UPDATE_ERROR
-            return self.hear(now, kind, error)
+            event, received = self._event_for(message)
+        except ProtocolError as error:
+            kind = Event.OPEN_ERROR if error.code == ErrorCode.OPEN else Event.UPDATE_ERROR
+            return self.handle_event(now, kind, error)
         if isinstance(message, wire.Notification):
             text = f": {message.text}" if message.text else ""
-            self._failed(now, f"peer: {message.name}{text}")
-        self._step(now, event, None, found)
-        return self._taken()
+            self._record_error(now, f"peer: {message.name}{text}")
+        self._handle(now, event, None, received)
+        return self._take_actions()
 
-    def garbled(self, now: float, error: Wrong) -> list[Action]:
-        """Bytes that are no message."""
+    def receive_invalid(self, now: float, error: ProtocolError) -> list[Action]:
+        """Handle bytes that could not be decoded."""
         kinds: dict[int, Event] = {
-            Code.OPEN: Event.OPEN_ERROR, Code.UPDATE: Event.UPDATE_ERROR, Code.REFRESH: Event.REFRESH_ERROR,
-        }  # fmt: skip
-        return self.hear(now, kinds.get(error.code, Event.HEADER_ERROR), error)
-
-    def passed(self, now: float) -> list[Action]:
-        """Timers whose moment has come, earliest first."""
+            ErrorCode.OPEN: Event.OPEN_ERROR,
+            ErrorCode.UPDATE: Event.UPDATE_ERROR,
+            ErrorCode.REFRESH: Event.REFRESH_ERROR,
+        }
+        return self.handle_event(now, kinds.get(error.code, Event.HEADER_ERROR), error)
+
+    def advance(self, now: float) -> list[Action]:
+        """Handle expired timers, earliest first."""
         while due := [(at, timer.value, timer) for timer, at in self.timers.items() if at <= now]:
             timer = min(due)[2]
             del self.timers[timer]
-            self._step(now, timer.value, None, None)
-        return self._taken()
+            self._handle(now, timer.value, None, None)
+        return self._take_actions()
 
-    def next(self) -> float:
+    def next_advance_at(self) -> float:
+        """Return when the next timer expires."""
         return min(self.timers.values(), default=float("inf"))
 
-    def unsent(self, now: float, waiting: bool, within: float | None = None) -> None:
-        """Whether what was sent is still on its way, and how long it may be (RFC 9687; the hold time by
-        itself). A moment once set only comes nearer until all is sent."""
+    def update_send_hold(self, now: float, waiting: bool, within: float | None = None) -> None:
+        """Start or stop the send hold timer, depending on whether sent bytes are unacknowledged (RFC 9687).
+
+        A running timer is only ever shortened. The default time is the hold time.
+        """
         if not waiting or self.state != State.ESTABLISHED:
             self.timers.pop(Timer.SEND, None)
         else:
             at = now + (self.hold if within is None else min(self.hold, within))
             self.timers[Timer.SEND] = min(at, self.timers.get(Timer.SEND, at))
 
-    def refused(self, now: float, why: str) -> None:
-        """No connection came about; the event itself is `TCP_FAILS`."""
-        self._failed(now, f"connect: {why}")
+    def connect_failed(self, now: float, why: str) -> None:
+        """Record why a connection attempt failed; the event itself is `TCP_FAILS`."""
+        self._record_error(now, f"connect: {why}")
 
-    # What is done.
+    # Transitions.
 
-    def _event(self, message: wire.Message) -> tuple[Event, Took | Refreshed | None]:
+    def _event_for(self, message: wire.Message) -> tuple[Event, UpdateReceived | RefreshReceived | None]:
+        """Return the event for a message, and the action that delivers it."""
         match message:
             case wire.Open():
                 if self.state == State.OPEN_SENT:
-                    self.mine.check(message)
-                    self.theirs, self.agreed = message, wire.agree(self.mine.open(), message)
-                    self.hold = float(min(self.mine.hold, message.hold))
+                    self.local.check(message)
+                    self.peer_open, self.negotiated = message, wire.negotiate(self.local.open(), message)
+                    self.hold = float(min(self.local.hold, message.hold))
                 return Event.OPEN, None
             case wire.Update():
                 if self.state != State.ESTABLISHED:
                     return Event.UPDATE, None
-                return Event.UPDATE, Took(attributes.understand(message, self.agreed, self.mine.internal))
-            case wire.Notification(Code.OPEN, 1):
+                return Event.UPDATE, UpdateReceived(
+                    attributes.interpret_update(message, self.negotiated, self.local.internal)
+                )
+            case wire.Notification(ErrorCode.OPEN, 1):
                 return Event.NOTIFICATION_VERSION, None
             case wire.Notification():
                 return Event.NOTIFICATION, None
-            case wire.Refresh():
-                return Event.REFRESH, Refreshed(message)
+            case wire.RouteRefresh():
+                return Event.REFRESH, RefreshReceived(message)
             case _:
                 return Event.KEEPALIVE, None
 
-    def _step(self, now: float, event: Event, error: Wrong | None, found: Took | Refreshed | None) -> None:
+    def _handle(
+        self,
+        now: float,
+        event: Event,
+        error: ProtocolError | None,
+        received: UpdateReceived | RefreshReceived | None,
+    ) -> None:
+        """Execute the transition for an event."""
         if self.passive and self.state in (State.IDLE, State.ACTIVE):
-            event = WAITS.get(event, event)
+            event = PASSIVE_EVENTS.get(event, event)
         self.last_event = event
-        before, row = self.state, TABLE[self.state, event]
+        previous_state, row = self.state, TRANSITIONS[self.state, event]
         notified = False
-        for do in row.does:
-            match do:
-                case Do.NOTIFY:
+        for effect in row.effects:
+            match effect:
+                case Effect.SEND_NOTIFICATION:
                     notified = True
-                    self._notify(now, event, error)
-                case Do.DROP:
-                    if before >= State.OPEN_SENT and not notified:
-                        self._failed(now, "connection lost")
-                    self.out.append(Drop(notified))
+                    self._send_notification(now, event, error)
+                case Effect.CLOSE:
+                    if previous_state >= State.OPEN_SENT and not notified:
+                        self._record_error(now, "connection lost")
+                    self.actions.append(CloseConnection(notified))
                     for timer in (Timer.HOLD, Timer.KEEPALIVE, Timer.SEND):
                         self.timers.pop(timer, None)
-                case Do.TAKE:
-                    assert found is not None
-                    self.out.append(found)
+                case Effect.DELIVER:
+                    assert received is not None
+                    self.actions.append(received)
                 case _:
-                    self._do(now, do)
-        if row.to != before:
-            self.state, self.since = row.to, now
-
-    def _do(self, now: float, do: Do) -> None:
-        match do:
-            case Do.DIAL:
-                self.out.append(Dial())
-            case Do.OPEN:
-                self.theirs, self.agreed = None, wire.Agreed()
-                self.out.append(Send(self.mine.open()))
-            case Do.KEEPALIVE:
-                self.out.append(Send(wire.Keepalive()))
-            case Do.RETRY_ON if self.passive:
-                pass  # it never dials: the peer comes, or nobody
-            case Do.RETRY_ON:
-                self._start(now, Timer.RETRY, self.mine.hold * self.penalty.factor(now))
-            case Do.RETRY_OFF:
+                    self._apply(now, effect)
+        if row.next_state != previous_state:
+            self.state, self.since = row.next_state, now
+
+    def _apply(self, now: float, effect: Effect) -> None:
+        """Apply one effect that needs nothing but the state."""
+        match effect:
+            case Effect.CONNECT:
+                self.actions.append(Connect())
+            case Effect.SEND_OPEN:
+                self.peer_open, self.negotiated = None, wire.NegotiatedOptions()
+                self.actions.append(SendMessage(self.local.open()))
+            case Effect.SEND_KEEPALIVE:
+                self.actions.append(SendMessage(wire.Keepalive()))
+            case Effect.START_RETRY if self.passive:
+                pass  # a passive session never connects
+            case Effect.START_RETRY:
+                self._start_timer(now, Timer.RETRY, self.local.hold * self.damping.delay_factor(now))
+            case Effect.STOP_RETRY:
                 self.timers.pop(Timer.RETRY, None)
-            case Do.COUNT:
+            case Effect.COUNT_FLAP:
                 self.flaps += 1
-                self.penalty.flap(now)
-            case Do.LARGE:
-                self.timers[Timer.HOLD] = now + LARGE_HOLD * self.mine.hold
-            case Do.HOLD:
+                self.damping.add_flap(now)
+            case Effect.START_OPEN_HOLD:
+                self.timers[Timer.HOLD] = now + OPEN_HOLD_FACTOR * self.local.hold
+            case Effect.RESTART_HOLD:
                 self.timers[Timer.HOLD] = now + self.hold
-            case Do.KEEP_ON:
-                self._start(now, Timer.KEEPALIVE, self.hold / KEEPALIVES)
-            case Do.IDLE_ON:
-                self._start(now, Timer.IDLE, self.mine.hold * IDLE * self.penalty.factor(now))
-            case Do.IDLE_OFF:
+            case Effect.RESTART_KEEPALIVE:
+                self._start_timer(now, Timer.KEEPALIVE, self.hold / KEEPALIVES_PER_HOLD_TIME)
+            case Effect.START_IDLE_HOLD:
+                self._start_timer(
+                    now, Timer.IDLE, self.local.hold * IDLE_HOLD_FACTOR * self.damping.delay_factor(now)
+                )
+            case Effect.STOP_IDLE_HOLD:
                 self.timers.pop(Timer.IDLE, None)
-            case Do.UP:
-                self.out.append(Up(self.agreed))
-            case Do.RELEASE:
-                self.out.append(Down())
+            case Effect.SESSION_UP:
+                self.actions.append(SessionUp(self.negotiated))
+            case Effect.RELEASE_ROUTES:
+                self.actions.append(SessionDown())
 
-    def _notify(self, now: float, event: Event, error: Wrong | None) -> None:
+    def _send_notification(self, now: float, event: Event, error: ProtocolError | None) -> None:
+        """Send the NOTIFICATION for an event or error."""
         if error is not None:
-            said = wire.Notification(error.code, error.subcode, error.data)
-        elif event in OWN:
-            said = wire.Notification(*OWN[event])
-        else:  # RFC 6608: the subcode tells the state
-            said = wire.Notification(Code.FSM, self.state - State.OPEN_SENT + 1)
+            message = wire.Notification(error.code, error.subcode, error.data)
+        elif event in EVENT_NOTIFICATIONS:
+            message = wire.Notification(*EVENT_NOTIFICATIONS[event])
+        else:  # RFC 6608: the subcode is the state
+            message = wire.Notification(ErrorCode.FSM, self.state - State.OPEN_SENT + 1)
         if event != Event.STOP:
-            self._failed(now, said.name)
-        self.out.append(Send(said))
+            self._record_error(now, message.name)
+        self.actions.append(SendMessage(message))
 
-    def _failed(self, now: float, name: str) -> None:
+    def _record_error(self, now: float, name: str) -> None:
+        """Record the last error; a lost connection does not replace its cause."""
         if not (name == "connection lost" and self.error_at == now):
             self.error, self.error_at = name, now
 
-    def _start(self, now: float, timer: Timer, span: float) -> None:
-        self.timers[timer] = now + span * self.rng.uniform(JITTER, 1.0)
+    def _start_timer(self, now: float, timer: Timer, span: float) -> None:
+        """Start a timer with jitter."""
+        self.timers[timer] = now + span * self.rng.uniform(MIN_JITTER, 1.0)
+
+    def _take_actions(self) -> list[Action]:
+        """Return the collected actions and clear them."""
+        actions, self.actions = self.actions, []
+        return actions
 
-    def _taken(self) -> list[Action]:
-        out, self.out = self.out, []
-        return out
 
+def losing_connection(own_id: bytes, own_as: int, peer_id: bytes, peer_as: int) -> str:
+    """Return which of two connections to a peer is closed: `ours` (opened by this side) or `theirs`.
 
-def loses(own_id: bytes, own_as: int, peer_id: bytes, peer_as: int) -> str:
-    """RFC 4271 section 6.8 with RFC 6286: which of two connections to one peer goes, `ours` (that we
-    opened) or `theirs`: the one opened by the lower identifier, and by the lower AS where they are
-    equal."""
+    The connection of the side with the lower identifier is closed, or of the lower AS if they are equal (RFC
+    4271 section 6.8, RFC 6286).
+    """
     return "ours" if (own_id, own_as) < (peer_id, peer_as) else "theirs"
--- a/thymeyoke/bgp/wire.py
+++ b/thymeyoke/bgp/wire.py
@@ -1,9 +1,8 @@
-"""BGP-4 messages as bytes and as values, both directions; a protocol's names end here.
+"""Encodes and decodes BGP-4 messages. Only this module uses the protocol's octets.
 
-RFC 4271 sections 4 and 6, with capabilities (5492), extended optional parameters (9072), extended messages
-(8654), route refresh (2918, 7313), shutdown communication (9003) and ADD-PATH (7911). What an attribute
-means, and what becomes of a bad one, is in `attributes`. Nothing here has a clock, a socket or state past
-what is not yet whole.
+RFC 4271 sections 4 and 6, capabilities (RFC 5492), extended optional parameters (RFC 9072), extended messages
+(RFC 8654), route refresh (RFC 2918, 7313), shutdown communication (RFC 9003) and ADD-PATH (RFC 7911). The
+meaning of attributes is in `attributes`. There is no I/O, and no state but an incomplete message.
 """
 
 from __future__ import annotations
@@ -13,13 +12,15 @@
 from typing import NamedTuple
 
 MARKER = b"\xff" * 16
-HEADER = 19  # octets: marker, length, type
-MOST, MOST_EXTENDED = 4096, 65535  # octets of a message, RFC 4271 section 4.1 and RFC 8654
+HEADER_BYTES = 19  # marker, length, type
+MAX_MESSAGE_BYTES, MAX_EXTENDED_MESSAGE_BYTES = 4096, 65535  # RFC 4271 section 4.1, RFC 8654
 VERSION = 4
-AS_TRANS = 23456  # RFC 6793: stands for an AS number that two octets can't hold
+AS_TRANS = 23456  # RFC 6793: in place of an AS number that needs four octets
 
 
-class Type(IntEnum):
+class MessageType(IntEnum):
+    """Message types, RFC 4271 section 4.1."""
+
     OPEN = 1
     UPDATE = 2
     NOTIFICATION = 3
@@ -27,8 +28,8 @@
     ROUTE_REFRESH = 5
 
 
-class Code(IntEnum):
-    """Error codes, RFC 4271 section 4.5, 7313 and 9687."""
+class ErrorCode(IntEnum):
+    """Error codes, RFC 4271 section 4.5, RFC 7313 and RFC 9687."""
 
     HEADER = 1
     OPEN = 2
@@ -40,7 +41,7 @@
     SEND_HOLD = 8
 
 
-NAMES: dict[tuple[int, int], str] = {
+SUBCODE_NAMES: dict[tuple[int, int], str] = {
     (1, 1): "connection not synchronized", (1, 2): "bad message length", (1, 3): "bad message type",
     (2, 1): "unsupported version number", (2, 2): "bad peer AS", (2, 3): "bad BGP identifier",
     (2, 4): "unsupported optional parameter", (2, 6): "unacceptable hold time",
@@ -57,14 +58,14 @@
     (6, 7): "connection collision resolution", (6, 8): "out of resources",
     (7, 1): "invalid message length",
 }  # fmt: skip
-GENERAL = {1: "message header error", 2: "OPEN message error", 3: "UPDATE message error",
+CODE_NAMES = {1: "message header error", 2: "OPEN message error", 3: "UPDATE message error",
            4: "hold timer expired",
            5: "finite state machine error", 6: "cease", 7: "ROUTE-REFRESH message error",
            8: "send hold timer expired"}  # fmt: skip
 
 
-class Wrong(Exception):
-    """What a peer sent breaks the protocol: the NOTIFICATION that says so."""
+class ProtocolError(Exception):
+    """A peer violated the protocol. Has the fields of the NOTIFICATION to answer with."""
 
     def __init__(self, code: int, subcode: int = 0, data: bytes = b"") -> None:
         super().__init__(error_name(code, subcode))
@@ -72,17 +73,19 @@
 
 
 def error_name(code: int, subcode: int) -> str:
-    return NAMES.get((code, subcode)) or GENERAL.get(code) or f"error {code}/{subcode}"
+    """Return the name of an error, by code and subcode."""
+    return SUBCODE_NAMES.get((code, subcode)) or CODE_NAMES.get(code) or f"error {code}/{subcode}"
 
 
 class Family(NamedTuple):
-    """AFI and SAFI, RFC 4760."""
+    """Address family (AFI and SAFI), RFC 4760."""
 
     afi: int
     safi: int
 
     @property
-    def octets(self) -> int:
+    def address_bytes(self) -> int:
+        """Size of an address in bytes."""
         return 4 if self.afi == 1 else 16
 
 
@@ -90,20 +93,26 @@
 
 
 class Nlri(NamedTuple):
-    """An address prefix: its length in bits, its octets in full with host bits zero, and a path identifier
-    where ADD-PATH brought one."""
+    """An address prefix: its length in bits, and the complete address with host bits zero.
+
+    `path_id` is set if ADD-PATH was negotiated.
+    """
 
-    bits: int
-    net: bytes
-    path: int | None = None
+    prefix_length: int
+    address: bytes
+    path_id: int | None = None
 
 
 class Capability(NamedTuple):
+    """An optional capability, with its raw value."""
+
     code: int
     value: bytes
 
 
-class Cap(IntEnum):
+class CapabilityCode(IntEnum):
+    """Codes of capabilities."""
+
     MULTIPROTOCOL = 1
     ROUTE_REFRESH = 2
     EXTENDED_MESSAGE = 6
@@ -114,7 +123,9 @@
 
 
 class Open(NamedTuple):
-    as2: int  # as the two octets say; AS_TRANS where the number is in a capability
+    """An OPEN message. `hold` is the hold time in seconds, `id` the BGP identifier."""
+
+    two_byte_as: int  # AS_TRANS if the AS number is in a capability
     hold: int
     id: bytes
     capabilities: tuple[Capability, ...] = ()
@@ -123,25 +134,26 @@
     def as_(self) -> int:
         """The AS number, RFC 6793."""
         for code, value in self.capabilities:
-            if code == Cap.AS4:
+            if code == CapabilityCode.AS4:
                 return int.from_bytes(value, "big")
-        return self.as2
+        return self.two_byte_as
 
-    def has(self, code: int) -> bool:
+    def has_capability(self, code: int) -> bool:
+        """Return whether the peer has a capability."""
         return any(capability.code == code for capability in self.capabilities)
 
     @property
     def families(self) -> frozenset[Family]:
-        """Those that the peer speaks; one that names none speaks IPv4 unicast (RFC 4760 section 8)."""
-        named = [value for code, value in self.capabilities if code == Cap.MULTIPROTOCOL]
+        """The peer's address families; IPv4 unicast if it names none (RFC 4760 section 8)."""
+        named = [value for code, value in self.capabilities if code == CapabilityCode.MULTIPROTOCOL]
         found = {Family(int.from_bytes(value[:2], "big"), value[3]) for value in named}
         return frozenset(found) if named else frozenset((IPV4,))
 
-    def add_path(self, bit: int) -> frozenset[Family]:
-        """Families for which the peer would receive (1) or send (2) several paths, RFC 7911 section 4."""
+    def add_path_families_of(self, bit: int) -> frozenset[Family]:
+        """Return the families with multiple paths that the peer receives (1) or sends (2), RFC 7911."""
         found = set()
         for code, value in self.capabilities:
-            if code == Cap.ADD_PATH:
+            if code == CapabilityCode.ADD_PATH:
                 for at in range(0, len(value), 4):
                     if value[at + 3] in (1, 2, 3) and value[at + 3] & bit:
                         found.add(Family(int.from_bytes(value[at : at + 2], "big"), value[at + 2]))
@@ -149,7 +161,7 @@
 
 
 class Attribute(NamedTuple):
-    """A path attribute, raw. `flags` are the octet as it stood, the extended length bit included."""
+    """A path attribute with its raw value; `flags` include the extended length bit."""
 
     flags: int
     code: int
@@ -157,92 +169,119 @@
 
 
 class Update(NamedTuple):
+    """An UPDATE message."""
+
     withdrawn: tuple[Nlri, ...] = ()
     attributes: tuple[Attribute, ...] = ()
     nlri: tuple[Nlri, ...] = ()
-    rest: bytes = b""  # of attributes that end in the middle of one (RFC 7606 section 4)
+    trailing_bytes: bytes = b""  # of a truncated attribute (RFC 7606 section 4)
 
 
 class Notification(NamedTuple):
+    """A NOTIFICATION message."""
+
     code: int
     subcode: int = 0
     data: bytes = b""
 
     @property
     def name(self) -> str:
+        """Name of the error."""
         return error_name(self.code, self.subcode)
 
     @property
     def text(self) -> str:
-        """The shutdown communication, RFC 9003; empty where there is none that can be read."""
-        if self.code != Code.CEASE or self.subcode not in (2, 4) or not self.data:
+        """The shutdown communication, RFC 9003; empty if there is none or it is invalid."""
+        if self.code != ErrorCode.CEASE or self.subcode not in (2, 4) or not self.data:
             return ""
-        said = self.data[1 : 1 + self.data[0]]
-        return said.decode("utf-8", "replace") if len(said) == self.data[0] else ""
+        text = self.data[1 : 1 + self.data[0]]
+        return text.decode("utf-8", "replace") if len(text) == self.data[0] else ""
 
 
 class Keepalive(NamedTuple):
+    """A KEEPALIVE message."""
+
     pass
 
 
-class Refresh(NamedTuple):
-    """RFC 2918; `kind` 1 and 2 are the beginning and the end of one, RFC 7313."""
+class RouteRefresh(NamedTuple):
+    """A ROUTE-REFRESH message; subtypes 1 and 2 are begin and end of a refresh, RFC 7313."""
 
     family: Family
-    kind: int = 0
+    subtype: int = 0
 
 
-Message = Open | Update | Notification | Keepalive | Refresh
+Message = Open | Update | Notification | Keepalive | RouteRefresh
 
 
-class Agreed(NamedTuple):
-    """What both sides' OPENs allow: how bytes are read."""
+class NegotiatedOptions(NamedTuple):
+    """The options that both OPEN messages allow; they determine how later messages are decoded."""
 
-    as4: bool = False
-    extended: bool = False
-    enhanced: bool = False
+    four_byte_as: bool = False
+    extended_messages: bool = False
+    enhanced_refresh: bool = False
     refresh: bool = False
     families: frozenset[Family] = frozenset((IPV4,))
-    paths: frozenset[Family] = frozenset()  # families whose received prefixes carry path identifiers
+    add_path_families: frozenset[Family] = frozenset()  # received prefixes have path IDs
+
 
+def negotiate(ours: Open, theirs: Open) -> NegotiatedOptions:
+    """Return the options that both sides support."""
 
-def agree(ours: Open, theirs: Open) -> Agreed:
     def both(code: int) -> bool:
-        return ours.has(code) and theirs.has(code)
+        return ours.has_capability(code) and theirs.has_capability(code)
 
-    return Agreed(
-        both(Cap.AS4), both(Cap.EXTENDED_MESSAGE), both(Cap.ENHANCED_REFRESH), both(Cap.ROUTE_REFRESH),
-        ours.families & theirs.families, ours.add_path(1) & theirs.add_path(2))  # fmt: skip
+    return NegotiatedOptions(
+        both(CapabilityCode.AS4),
+        both(CapabilityCode.EXTENDED_MESSAGE),
+        both(CapabilityCode.ENHANCED_REFRESH),
+        both(CapabilityCode.ROUTE_REFRESH),
+        ours.families & theirs.families,
+        ours.add_path_families_of(1) & theirs.add_path_families_of(2),
+    )
 
 
 # Encoding.
 
 
-def frame(type_: Type, body: bytes, most: int = MOST) -> bytes:
-    length = HEADER + len(body)
-    assert length <= most, f"{type_.name} of {length} octets"
+def encode_frame(type_: MessageType, body: bytes, max_bytes: int = MAX_MESSAGE_BYTES) -> bytes:
+    """Encode a message with its header."""
+    length = HEADER_BYTES + len(body)
+    assert length <= max_bytes, f"{type_.name} of {length} bytes"
     return MARKER + length.to_bytes(2, "big") + bytes((type_,)) + body
 
 
-def encode(message: Message, agreed: Agreed = Agreed()) -> bytes:  # noqa: B008 (a frozen value)
+def encode(message: Message, negotiated: NegotiatedOptions = NegotiatedOptions()) -> bytes:  # noqa: B008 (a frozen value)
+    """Encode a message."""
     match message:
         case Open():
-            return frame(Type.OPEN, _open_body(message))
+            return encode_frame(MessageType.OPEN, _encode_open(message))
         case Update():
-            return frame(Type.UPDATE, _update_body(message), MOST_EXTENDED if agreed.extended else MOST)
+            return encode_frame(
+                MessageType.UPDATE,
+                _encode_update(message),
+                MAX_EXTENDED_MESSAGE_BYTES if negotiated.extended_messages else MAX_MESSAGE_BYTES,
+            )
         case Notification(code, subcode, data):
-            room = MOST - HEADER - 2
-            return frame(Type.NOTIFICATION, bytes((code, subcode)) + data[:room])
+            max_data = MAX_MESSAGE_BYTES - HEADER_BYTES - 2
+            return encode_frame(MessageType.NOTIFICATION, bytes((code, subcode)) + data[:max_data])
         case Keepalive():
-            return frame(Type.KEEPALIVE, b"")
-        case Refresh(family, kind):
-            return frame(Type.ROUTE_REFRESH, family.afi.to_bytes(2, "big") + bytes((kind, family.safi)))
-
-
-def _open_body(said: Open) -> bytes:
-    """All capabilities stand in one parameter; past 255 octets in the extended form of RFC 9072."""
-    caps = b"".join(bytes((code, len(value))) + value for code, value in said.capabilities)
-    head = bytes((VERSION,)) + said.as2.to_bytes(2, "big") + said.hold.to_bytes(2, "big") + said.id
+            return encode_frame(MessageType.KEEPALIVE, b"")
+        case RouteRefresh(family, subtype):
+            return encode_frame(
+                MessageType.ROUTE_REFRESH, family.afi.to_bytes(2, "big") + bytes((subtype, family.safi))
+            )
+
+
+def _encode_open(message: Open) -> bytes:
+    """Encode an OPEN with all capabilities in one parameter; over 255 bytes in the form of RFC 9072."""
+    caps = b"".join(bytes((code, len(value))) + value for code, value in message.capabilities)
+    head = (
+        bytes((VERSION,))
+        + message.two_byte_as.to_bytes(2, "big")
+        + message.hold.to_bytes(2, "big")
+        + message.id
+    )
     if not caps:
         return head + b"\0"
     if len(caps) + 2 <= 255:
@@ -251,188 +290,226 @@
     return head + b"\xff\xff" + (len(caps) + 3).to_bytes(2, "big") + b"\2" + length + caps
 
 
-def prefix(nlri: Nlri) -> bytes:
-    path = b"" if nlri.path is None else nlri.path.to_bytes(4, "big")
-    return path + bytes((nlri.bits,)) + nlri.net[: (nlri.bits + 7) // 8]
+def encode_prefix(nlri: Nlri) -> bytes:
+    """Encode a prefix."""
+    path_id = b"" if nlri.path_id is None else nlri.path_id.to_bytes(4, "big")
+    return path_id + bytes((nlri.prefix_length,)) + nlri.address[: (nlri.prefix_length + 7) // 8]
 
 
-def attribute(what: Attribute) -> bytes:
-    flags = what.flags | (0x10 if len(what.value) > 255 else 0)
-    length = len(what.value).to_bytes(2 if flags & 0x10 else 1, "big")
-    return bytes((flags, what.code)) + length + what.value
+def encode_attribute(attribute: Attribute) -> bytes:
+    """Encode a path attribute."""
+    flags = attribute.flags | (0x10 if len(attribute.value) > 255 else 0)
+    length = len(attribute.value).to_bytes(2 if flags & 0x10 else 1, "big")
+    return bytes((flags, attribute.code)) + length + attribute.value
 
 
-def _update_body(said: Update) -> bytes:
-    withdrawn = b"".join(map(prefix, said.withdrawn))
-    attributes = b"".join(map(attribute, said.attributes)) + said.rest
+def _encode_update(message: Update) -> bytes:
+    """Encode the body of an UPDATE."""
+    withdrawn = b"".join(map(encode_prefix, message.withdrawn))
+    attributes = b"".join(map(encode_attribute, message.attributes)) + message.trailing_bytes
     return b"".join((
         len(withdrawn).to_bytes(2, "big"), withdrawn, len(attributes).to_bytes(2, "big"), attributes,
-        *map(prefix, said.nlri)))  # fmt: skip
+        *map(encode_prefix, message.nlri)))  # fmt: skip
 
 
-def shutdown(text: str, subcode: int = 2) -> Notification:
-    """Administrative shutdown with a word on why, RFC 9003: at most 255 octets, cut between characters."""
-    said = text.encode()[:255].decode("utf-8", "ignore").encode()
-    return Notification(Code.CEASE, subcode, bytes((len(said),)) + said)
+def shutdown_notification(text: str, subcode: int = 2) -> Notification:
+    """Build an administrative shutdown with a text of at most 255 bytes, RFC 9003."""
+    encoded = text.encode()[:255].decode("utf-8", "ignore").encode()
+    return Notification(ErrorCode.CEASE, subcode, bytes((len(encoded),)) + encoded)
 
 
 # Decoding.
 
 
-class Reader:
-    """Bytes of one connection to messages. Holds at most one message that is not yet whole.
+class MessageReader:
+    """Splits the bytes of a connection into messages; buffers at most one incomplete message.
 
-    `agreed` is set by the session once both OPENs are in: the bytes after them are read by it.
+    The session sets `negotiated` after both OPEN messages; it applies to the bytes after them.
     """
 
     def __init__(self) -> None:
-        self.rest = bytearray()
-        self.agreed = Agreed()
+        self.buffer = bytearray()
+        self.negotiated = NegotiatedOptions()
 
     def feed(self, data: bytes) -> Iterator[Message]:
-        """Messages as they become whole; `Wrong` where the bytes are none, after those before it.
-
-        The iterator must be used up, or dropped with the connection."""
-        self.rest += data
-        while len(self.rest) >= HEADER:
-            length = int.from_bytes(self.rest[16:18], "big")
-            check_header(bytes(self.rest[:HEADER]), self.agreed)
-            if len(self.rest) < length:
+        """Add received bytes and return the complete messages; raises `ProtocolError` after the valid ones.
+
+        The iterator must be exhausted, or dropped together with the connection.
+        """
+        self.buffer += data
+        while len(self.buffer) >= HEADER_BYTES:
+            length = int.from_bytes(self.buffer[16:18], "big")
+            check_header(bytes(self.buffer[:HEADER_BYTES]), self.negotiated)
+            if len(self.buffer) < length:
                 return
-            type_, body = self.rest[18], bytes(self.rest[HEADER:length])
-            del self.rest[:length]
-            yield decode(type_, body, self.agreed)
-
-    def half(self) -> bool:
-        return bool(self.rest)
-
-
-def check_header(head: bytes, agreed: Agreed) -> None:
-    """RFC 4271 section 6.1."""
-    if head[:16] != MARKER:
-        raise Wrong(Code.HEADER, 1)
-    length, kind = int.from_bytes(head[16:18], "big"), head[18]
-    if kind not in LEAST:
-        raise Wrong(Code.HEADER, 3, head[18:19])
+            type_, body = self.buffer[18], bytes(self.buffer[HEADER_BYTES:length])
+            del self.buffer[:length]
+            yield decode(type_, body, self.negotiated)
+
+    def has_partial_message(self) -> bool:
+        """Return whether an incomplete message is buffered."""
+        return bool(self.buffer)
+
+
+def check_header(header: bytes, negotiated: NegotiatedOptions) -> None:
+    """Validate a message header, RFC 4271 section 6.1."""
+    if header[:16] != MARKER:
+        raise ProtocolError(ErrorCode.HEADER, 1)
+    length, type_ = int.from_bytes(header[16:18], "big"), header[18]
+    if type_ not in MIN_MESSAGE_BYTES:
+        raise ProtocolError(ErrorCode.HEADER, 3, header[18:19])
     # RFC 8654 section 4: an OPEN or a KEEPALIVE is never longer than 4,096 octets.
-    most = MOST_EXTENDED if agreed.extended and kind not in (Type.OPEN, Type.KEEPALIVE) else MOST
-    if kind == Type.ROUTE_REFRESH and length != LEAST[kind] and HEADER <= length <= most:
-        return  # its own error code says it, RFC 7313 section 5
-    if not LEAST[kind] <= length <= most or (kind == Type.KEEPALIVE and length != HEADER):
-        raise Wrong(Code.HEADER, 2, head[16:18])
-
-
-LEAST: dict[int, int] = {Type.OPEN: 29, Type.UPDATE: 23, Type.NOTIFICATION: 21, Type.KEEPALIVE: 19,
-                         Type.ROUTE_REFRESH: 23}  # fmt: skip
-
-
-def decode(type_: int, body: bytes, agreed: Agreed = Agreed()) -> Message:  # noqa: B008 (a frozen value)
+    max_bytes = (
+        MAX_EXTENDED_MESSAGE_BYTES
+        if negotiated.extended_messages and type_ not in (MessageType.OPEN, MessageType.KEEPALIVE)
+        else MAX_MESSAGE_BYTES
+    )
+    if (
+        type_ == MessageType.ROUTE_REFRESH
+        and length != MIN_MESSAGE_BYTES[type_]
+        and HEADER_BYTES <= length <= max_bytes
+    ):
+        return  # reported with its own error code, RFC 7313 section 5
+    if not MIN_MESSAGE_BYTES[type_] <= length <= max_bytes or (
+        type_ == MessageType.KEEPALIVE and length != HEADER_BYTES
+    ):
+        raise ProtocolError(ErrorCode.HEADER, 2, header[16:18])
+
+
+MIN_MESSAGE_BYTES: dict[int, int] = {
+    MessageType.OPEN: 29,
+    MessageType.UPDATE: 23,
+    MessageType.NOTIFICATION: 21,
+    MessageType.KEEPALIVE: 19,
+    MessageType.ROUTE_REFRESH: 23,
+}
+
+
+def decode(type_: int, body: bytes, negotiated: NegotiatedOptions = NegotiatedOptions()) -> Message:  # noqa: B008 (a frozen value)
+    """Decode the body of a message."""
     match type_:
-        case Type.OPEN:
-            return _open(body)
-        case Type.UPDATE:
-            return _update(body, agreed)
-        case Type.NOTIFICATION:
+        case MessageType.OPEN:
+            return _decode_open(body)
+        case MessageType.UPDATE:
+            return _decode_update(body, negotiated)
+        case MessageType.NOTIFICATION:
             return Notification(body[0], body[1], body[2:])
-        case Type.KEEPALIVE:
+        case MessageType.KEEPALIVE:
             return Keepalive()
-        case Type.ROUTE_REFRESH:
+        case MessageType.ROUTE_REFRESH:
             if len(body) != 4:
-                header = (HEADER + len(body)).to_bytes(2, "big") + bytes((type_,))
-                raise Wrong(Code.REFRESH, 1, MARKER + header + body)
-            return Refresh(Family(int.from_bytes(body[:2], "big"), body[3]), body[2])
-    raise Wrong(Code.HEADER, 3, bytes((type_,)))
+                header = (HEADER_BYTES + len(body)).to_bytes(2, "big") + bytes((type_,))
+                raise ProtocolError(ErrorCode.REFRESH, 1, MARKER + header + body)
+            return RouteRefresh(Family(int.from_bytes(body[:2], "big"), body[3]), body[2])
+    raise ProtocolError(ErrorCode.HEADER, 3, bytes((type_,)))
 
 
-def _open(body: bytes) -> Open:
+def _decode_open(body: bytes) -> Open:
+    """Decode an OPEN."""
     if body[0] != VERSION:
-        raise Wrong(Code.OPEN, 1, VERSION.to_bytes(2, "big"))
-    as2, hold, id_ = int.from_bytes(body[1:3], "big"), int.from_bytes(body[3:5], "big"), body[5:9]
-    told, rest, wide = body[9], body[10:], 1
-    if told == 255 and rest[:1] == b"\xff":  # RFC 9072 section 2
-        if len(rest) < 3:
-            raise Wrong(Code.OPEN, 0)
-        told, rest, wide = int.from_bytes(rest[1:3], "big"), rest[3:], 2
-    if told != len(rest):
-        raise Wrong(Code.OPEN, 0)
-    found: list[Capability] = []
-    for kind, value in _pieces(rest, wide):
+        raise ProtocolError(ErrorCode.OPEN, 1, VERSION.to_bytes(2, "big"))
+    two_byte_as, hold, id_ = int.from_bytes(body[1:3], "big"), int.from_bytes(body[3:5], "big"), body[5:9]
+    length, parameters, length_bytes = body[9], body[10:], 1
+    if length == 255 and parameters[:1] == b"\xff":  # RFC 9072 section 2
+        if len(parameters) < 3:
+            raise ProtocolError(ErrorCode.OPEN, 0)
+        length, parameters, length_bytes = int.from_bytes(parameters[1:3], "big"), parameters[3:], 2
+    if length != len(parameters):
+        raise ProtocolError(ErrorCode.OPEN, 0)
+    capabilities: list[Capability] = []
+    for kind, value in _decode_tlvs(parameters, length_bytes):
         if kind != 2:
-            raise Wrong(Code.OPEN, 4)
-        found += [Capability(code, said) for code, said in _pieces(value, 1)]
-    for capability in found:
+            raise ProtocolError(ErrorCode.OPEN, 4)
+        capabilities += [Capability(code, data) for code, data in _decode_tlvs(value, 1)]
+    for capability in capabilities:
         _check_capability(capability)
-    return Open(as2, hold, id_, tuple(found))
+    return Open(two_byte_as, hold, id_, tuple(capabilities))
 
 
-def _pieces(data: bytes, wide: int) -> Iterator[tuple[int, bytes]]:
-    """Type, length and value, again and again, the length `wide` octets."""
+def _decode_tlvs(data: bytes, length_bytes: int) -> Iterator[tuple[int, bytes]]:
+    """Yield type and value of each type-length-value triple; the length has `length_bytes` bytes."""
     at = 0
     while at < len(data):
-        end = at + 1 + wide
+        end = at + 1 + length_bytes
         length = int.from_bytes(data[at + 1 : end], "big")
         if end + length > len(data):
-            raise Wrong(Code.OPEN, 0)
+            raise ProtocolError(ErrorCode.OPEN, 0)
         yield data[at], data[end : end + length]
         at = end + length
 
 
-SIZES: dict[int, int] = {Cap.MULTIPROTOCOL: 4, Cap.AS4: 4, Cap.ROUTE_REFRESH: 0, Cap.EXTENDED_MESSAGE: 0,
-                         Cap.ENHANCED_REFRESH: 0}  # fmt: skip
+CAPABILITY_SIZES: dict[int, int] = {
+    CapabilityCode.MULTIPROTOCOL: 4,
+    CapabilityCode.AS4: 4,
+    CapabilityCode.ROUTE_REFRESH: 0,
+    CapabilityCode.EXTENDED_MESSAGE: 0,
+    CapabilityCode.ENHANCED_REFRESH: 0,
+}
 
 
 def _check_capability(capability: Capability) -> None:
+    """Validate the size of a capability."""
     code, value = capability
-    if len(value) != SIZES.get(code, len(value)) or (code == Cap.ADD_PATH and (len(value) % 4 or not value)):
-        raise Wrong(Code.OPEN, 0)
-
-
-def _update(body: bytes, agreed: Agreed) -> Update:
-    """Raises only what RFC 7606 leaves to a session reset: lengths that don't fit, unreadable prefixes."""
-    gone = int.from_bytes(body[:2], "big")
-    if 4 + gone > len(body):
-        raise Wrong(Code.UPDATE, 1)
-    size = int.from_bytes(body[2 + gone : 4 + gone], "big")
-    if 4 + gone + size > len(body):
-        raise Wrong(Code.UPDATE, 1)
-    at = 4 + gone
-    attributes, rest = _attributes(body[at : at + size])
-    paths = IPV4 in agreed.paths
-    withdrawn, nlri = prefixes(body[2 : 2 + gone], 4, paths), prefixes(body[at + size :], 4, paths)
-    return Update(withdrawn, attributes, nlri, rest)
-
-
-def _attributes(data: bytes) -> tuple[tuple[Attribute, ...], bytes]:
-    found: list[Attribute] = []
+    if len(value) != CAPABILITY_SIZES.get(code, len(value)) or (
+        code == CapabilityCode.ADD_PATH and (len(value) % 4 or not value)
+    ):
+        raise ProtocolError(ErrorCode.OPEN, 0)
+
+
+def _decode_update(body: bytes, negotiated: NegotiatedOptions) -> Update:
+    """Decode an UPDATE; raises only the errors for which RFC 7606 requires a session reset."""
+    withdrawn_size = int.from_bytes(body[:2], "big")
+    if 4 + withdrawn_size > len(body):
+        raise ProtocolError(ErrorCode.UPDATE, 1)
+    size = int.from_bytes(body[2 + withdrawn_size : 4 + withdrawn_size], "big")
+    if 4 + withdrawn_size + size > len(body):
+        raise ProtocolError(ErrorCode.UPDATE, 1)
+    at = 4 + withdrawn_size
+    attributes, trailing_bytes = _decode_attributes(body[at : at + size])
+    has_path_ids = IPV4 in negotiated.add_path_families
+    withdrawn, nlri = (
+        decode_prefixes(body[2 : 2 + withdrawn_size], 4, has_path_ids),
+        decode_prefixes(body[at + size :], 4, has_path_ids),
+    )
+    return Update(withdrawn, attributes, nlri, trailing_bytes)
+
+
+def _decode_attributes(data: bytes) -> tuple[tuple[Attribute, ...], bytes]:
+    """Decode path attributes; returns them and the bytes of a truncated last one."""
+    attributes: list[Attribute] = []
     at = 0
     while at < len(data):
-        wide = 2 if data[at] & 0x10 else 1
-        end = at + 2 + wide
+        length_bytes = 2 if data[at] & 0x10 else 1
+        end = at + 2 + length_bytes
         length = int.from_bytes(data[at + 2 : end], "big")
         if end > len(data) or end + length > len(data):
-            return tuple(found), data[at:]
-        found.append(Attribute(data[at], data[at + 1], data[end : end + length]))
+            return tuple(attributes), data[at:]
+        attributes.append(Attribute(data[at], data[at + 1], data[end : end + length]))
         at = end + length
-    return tuple(found), b""
+    return tuple(attributes), b""
 
 
-def prefixes(data: bytes, octets: int, paths: bool) -> tuple[Nlri, ...]:
-    """Prefixes, RFC 4271 section 4.3; `octets` a whole address. Bits past a length are dropped."""
-    found, at, end, most = [], 0, len(data), octets * 8
+def decode_prefixes(data: bytes, address_bytes: int, has_path_ids: bool) -> tuple[Nlri, ...]:
+    """Decode prefixes, RFC 4271 section 4.3; bits after the prefix length are cleared."""
+    prefixes, at, end, max_bits = [], 0, len(data), address_bytes * 8
     while at < end:
-        path = None
-        if paths:
-            path = int.from_bytes(data[at : at + 4], "big")
+        path_id = None
+        if has_path_ids:
+            path_id = int.from_bytes(data[at : at + 4], "big")
             at += 4
         if at >= end:
-            raise Wrong(Code.UPDATE, 10)
-        bits = data[at]
-        size = (bits + 7) // 8
-        if bits > most or at + 1 + size > end:
-            raise Wrong(Code.UPDATE, 10)
-        net = data[at + 1 : at + 1 + size].ljust(octets, b"\0")
-        if spare := -bits % 8:
-            net = net[: size - 1] + bytes((net[size - 1] >> spare << spare,)) + net[size:]
-        found.append(Nlri(bits, net, path))
+            raise ProtocolError(ErrorCode.UPDATE, 10)
+        prefix_length = data[at]
+        size = (prefix_length + 7) // 8
+        if prefix_length > max_bits or at + 1 + size > end:
+            raise ProtocolError(ErrorCode.UPDATE, 10)
+        address = data[at + 1 : at + 1 + size].ljust(address_bytes, b"\0")
+        if unused_bits := -prefix_length % 8:
+            address = (
+                address[: size - 1]
+                + bytes((address[size - 1] >> unused_bits << unused_bits,))
+                + address[size:]
+            )
+        prefixes.append(Nlri(prefix_length, address, path_id))
         at += 1 + size
-    return tuple(found)
+    return tuple(prefixes)
--- a/thymeyoke/proxy/process.py
+++ b/thymeyoke/proxy/process.py
@@ -487,7 +487,7 @@
         """Whether a tenant's address is announced with full preference, if this node announces it at all."""
         service = self.services.get(tenant)
         return service is None or all(
-            side.in_full(service.settings.address.ip)  # type: ignore[attr-defined]
+            side.is_fully_advertised(service.settings.address.ip)  # type: ignore[attr-defined]
             for side in self.active_extensions
             if side.name == "announce"
         )
@@ -501,7 +501,7 @@
                 caps = advertisement_levels.caps(
                     self.config["announce"].addresses, self.settings.services, self.migration.lowered_levels
                 )
-                side.cap(caps)  # type: ignore[attr-defined]
+                side.set_caps(caps)  # type: ignore[attr-defined]
 
     # Reload.
 
