--- a/fakes/processes.py
+++ b/fakes/processes.py
@@ -487,7 +487,7 @@
         assert self.peer is not None
         ids = {bytes(map(int, one.id.split("."))): one.name for one in self.nodes}
         wanted = bytes(map(int, self.address(tenant).split(".")))
-        return {ids[who]: full for (who, nlri), full in self.peer.routes().items() if nlri.net == wanted}
+        return {ids[who]: full for (who, nlri), full in self.peer.routes().items() if nlri.address == wanted}
 
     # The end.
 
--- a/tests/fault_injection/test_migration.py
+++ b/tests/fault_injection/test_migration.py
@@ -110,7 +110,7 @@
         wanted = bytes(map(int, here.address(tenant).split(".")))
         ids = {bytes(map(int, one.id.split("."))): one.name for one in here.nodes}
         return [(one.at, ids[one.who], one.what, one.full)
-                for one in here.peer.log if one.nlri.net == wanted]  # fmt: skip
+                for one in here.peer.log if one.nlri.address == wanted]  # fmt: skip
 
     def always_announced(self, here: Drill, since: float, tenant: str, besides: str = "") -> None:
         """By someone at each moment since, `besides` counted out."""
--- a/tests/test_migration.py
+++ b/tests/test_migration.py
@@ -411,14 +411,22 @@
             self.assertTrue(old.low < new.low and old.high > new.high and old.mid == new.mid)
 
     def mo_3(self) -> None:
-        for bad in (
-            {"connections": -1}, {"connections": 1 << 40}, {"room": -5}, {"opened": float("nan")},
-            {"opened": float("inf")}, {"loads": (Load("t1", 5), Load("t1", 5))}, {"loads": (Load("t1", -5),)},
-            {"loads": (Load("t1", 5, 0.0, 6),)}, {"connections": 10}, {"rest": Load("", 900)},
-            {"loads": (Load("t1", 5, float("-inf")),)},
-        ):  # fmt: skip
+        figures, load, total = (
+            "rate of opened connections out of range",
+            "load of a tenant out of range",
+            "add up",
+        )
+        cases: tuple[tuple[str, dict[str, Any]], ...] = (
+            (figures, {"connections": -1}), (figures, {"connections": 1 << 40}), (figures, {"room": -5}),
+            (figures, {"opened": float("nan")}), (figures, {"opened": float("inf")}),
+            ("lists a tenant twice", {"loads": (Load("t1", 5), Load("t1", 5))}),
+            (load, {"loads": (Load("t1", -5),)}), (load, {"loads": (Load("t1", 5, 0.0, 6),)}),
+            (load, {"loads": (Load("t1", 5, float("-inf")),)}),
+            (total, {"connections": 10}), (total, {"rest": Load("", 900)}),
+        )  # fmt: skip
+        for why, bad in cases:
             seen = fleet(own={"a": bad})
-            self.assertIn("tells", load_ranges.estimate_loads(seen, TERMS).unknown.get("a", ""), bad)
+            self.assertIn(why, load_ranges.estimate_loads(seen, TERMS).unknown.get("a", ""), bad)
             self.assertEqual(planned(seen).steps, ())
 
     def mo_4(self) -> None:
