--- a/fakes/simulated_fleet.py
+++ b/fakes/simulated_fleet.py
@@ -585,7 +585,7 @@
         return server
 
     def leave(self, name: str, door: float = 4.0) -> None:
-        """Drain an app server: it accepts connections until its listener closes, says farewell and ends."""
+        """Drain an app server: it accepts connections until its listener closes, and then ends."""
         server = self.servers[name]
         if server.alive and server.state == State.SERVING:
             server.change_state(State.LEAVING)
--- a/fakes/simulated_membership.py
+++ b/fakes/simulated_membership.py
@@ -144,7 +144,7 @@
         return any(member.status(name) in statuses for member in self.alive_members() if member.name != name)
 
     def all_know(self, name: str) -> bool:
-        """Whether all are sure of the process in its current incarnation."""
+        """Whether all processes trust this one in its current incarnation."""
         incarnation = self.all[name].membership.own.incarnation
         others = [member for member in self.alive_members() if member.name != name]
         return all(
@@ -153,7 +153,7 @@
         )
 
     def all_agree(self) -> bool:
-        """Whether each live process is sure of all other live processes and of nobody else."""
+        """Whether each live process trusts exactly all other live processes."""
         names = {member.name for member in self.alive_members()}
         return all(
             {name for name in member.membership.known if member.status(name) == MemberStatus.SURE}
--- a/fakes/simulated_migration.py
+++ b/fakes/simulated_migration.py
@@ -41,7 +41,7 @@
         self.delayed_view = DelayedView(self.world, moving.net, self, STEP)
         self.held: dict[str, float] = dict.fromkeys(sorted(holds), 0.0)
         self.opened: dict[str, float] = {}
-        self.still = False  # its snapshot stands still
+        self.still = False  # its snapshot is frozen
         self.begun = 0
 
     @property
@@ -107,7 +107,7 @@
         self.static = dict.fromkeys(names, 0.0)
         self.begun: list[float] = []  # moments
         self.most_at_once = self.most_an_hour = self.two_targets = 0
-        self.lost = self.all = 0.0  # connections that found nobody, and all
+        self.lost = self.all = 0.0  # failed connections, and all
         self.unannounced: Counter[str] = Counter()  # steps, by tenant
         self.moved: list[float] = []  # evenness by step
         self.unmoved: list[float] = []
--- a/tests/test_migration.py
+++ b/tests/test_migration.py
@@ -90,7 +90,7 @@
         self.trust: dict[str, dict[str, Trust]] = {name: {} for name in tenants}
         self.versions: dict[str, tuple[int, Any]] = dict.fromkeys(tenants, (0, None))
         self.dead: set[str] = set()
-        self.cut: set[tuple[str, str]] = set()  # (who hears, of whom)
+        self.cut: set[tuple[str, str]] = set()  # pairs of receiver and sender
         self.other: dict[str, dict[str, Any]] = {name: {} for name in tenants}
         self.out: list[tuple[str, controller.Action]] = []
         self.begun: list[tuple[Any, ...]] = []  # when, tenant, source, target
@@ -216,7 +216,7 @@
         return str(found[0]) if found else ""
 
 
-# What can happen in a scene. Whoever hears or finds something acts on it at once.
+# Steps of a scenario. A node that receives or detects something acts on it at once.
 STEPS: dict[str, Callable[..., Any]] = {
     "hears": lambda sim, who, of: (sim.hear(who, of), sim.settle(who)),
     "finds": Sim.find,  # it dead
@@ -224,9 +224,11 @@
     "unsure": lambda sim, who, of: sim.find(who, of, U),
     "kill": lambda sim, name: sim.dead.add(name),
     "restart": Sim.restart,
-    "leave": lambda sim, name: sim.other[name].update(state=State.LEAVING),  # it goes on saying what it holds
+    "leave": lambda sim, name: sim.other[name].update(
+        state=State.LEAVING
+    ),  # it still announces what it holds
     "run": lambda sim, seconds: sim.run(float(seconds)),
-    "wait": Sim.wait,  # a hears nothing
+    "wait": Sim.wait,  # a receives nothing
     "cut": lambda sim, who, of: sim.cut.add((who, of)),
     "heal": lambda sim: sim.cut.clear(),
     "empty": lambda sim: sim.connections["a"].update(t2=0),
@@ -238,7 +240,7 @@
 
 
 def asked(sim: Sim, step: float = 1.0) -> tuple[Sim, controller.MigrationRecord]:
-    """A fleet in which node a has just made a request that nobody has received."""
+    """A fleet in which node a has just made a request that no other node has received."""
     sim.until(lambda: sim.movers["a"]._active_records(), step)
     (record,) = sim.movers["a"]._active_records()
     return sim, record
@@ -636,7 +638,7 @@
         "kept: take b, a hears b, a finds c, -FF",  # b holds it
         "kept: run 1, restart a, leave c, a full 120, c says",  # a is back with its file, and c leaves
         "kept: run 1, restart a, run 3, L-F, leave c, a full 120, c says",
-        "kept: run 1, leave a, kill c, a finds c, --F",  # whoever leaves itself takes nothing back
+        "kept: run 1, leave a, kill c, a finds c, --F",  # a leaving node takes nothing back
     )
 
     def mo_23(self) -> None:
@@ -901,9 +903,9 @@
     def test_scenes(self) -> None:
         scenes("proposed: wait 3600, expired", "begun: wait 3600, undone", "settling: wait 3600, kept")(self)
         for state in ("begun", "settling"):
-            # c comes back and has forgotten, and its file says no.
+            # c restarts without its state, and does not hold the tenant by configuration.
             scene(self, f"{state}: kill a, kill c, run 5, restart c, run 5, ??-, restart a, run 5, F??")
-            # The move of a source that leaves goes on as any other.
+            # The migration of a leaving source continues.
             sim = scene(self, f"{state}: leave a, run 5, settling, ??F, empty, run 5, kept, -?F")
             counts = sim.movers["c"].counts
             self.assertEqual((counts["moves_arrived"], counts["moves_taken_over"]), (1, 0))
@@ -1026,7 +1028,7 @@
 
     def test_of_a_file(self) -> None:
         for moves, period, announce, asking, beginning in (
-            (60, 1, None, 30.0, 30.0),  # as it is by itself
+            (60, 1, None, 30.0, 30.0),  # defaults
             (60, 1, (1, 6), 30.0, 30.0),
             (3, 0.3, None, 2.4, 2.4),  # there and back
             (3, 0.3, (0.5, 60), 2.4, 2.4 + 0.5 + 1.0),
@@ -1135,7 +1137,7 @@
             yield from (f"{verb} {name}" for name in whom if self.left.get(verb))
 
     def do(self, step: str) -> None:
-        if step == "tick":  # 15 s without a word; what was heard is as if heard now: ages would hide more
+        if step == "tick":  # 15 s without messages; ages are reset, as they would hide other differences
             self.now += 15.0
             for name in self.movers:
                 self.seen[name] = {of: (said, self.now) for of, (said, _) in self.seen[name].items()}
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -92,7 +92,7 @@
     return ",".join(f"{one}:{found[one]}" if isinstance(found, dict) else str(one) for one in found)
 
 
-# The table, the room and connects.
+# The table, its capacity, and connects.
 
 
 def room() -> Any:
@@ -111,7 +111,7 @@
         return found
 
     def let(what: str = "", at: float = 0.0) -> str:
-        """Those that are let in, in order."""
+        """Return the tenants of the admitted clients, in order."""
         return "".join(str(one.tenant) for _ in range(100) if (one := table.admit_next()) is not None)
 
     return SimpleNamespace(
@@ -123,7 +123,7 @@
         drop=lambda what, at: table.remove(who[int(what)]),
         held=lambda what, at: listed(table.held_by_tenant),
         room=lambda what, at: listed({tenant: len(them) for tenant, them in table.waiting_by_tenant.items()}),
-        counts=lambda what, at: "/".join(map(str, (  # held, waiting, silent, and those that have spoken
+        counts=lambda what, at: "/".join(map(str, (  # held, waiting, silent and speaking clients
             table.held, table.waiting, len(table.silent), sum(map(len, table.queue.lines.values()))))),
         late=lambda what, at: listed(map(who.index, table.expired(at))),
         next=lambda what, at: f"{table.next_expiry():g}", close=lambda what, at: None,
@@ -169,7 +169,7 @@
 ALL_8 = "0,1,2,3,4,5,6,7"
 RULES |= {
     "NO-1": script(room, "come:11111111 let=11111111 held=1:8 room= counts=8/0/0/0"),
-    "NO-2": script(room, "full come:11@1 come:222@2 back:3 let=221"),  # 2 has its share then; 1 came before
+    "NO-2": script(room, "full come:11@1 come:222@2 back:3 let=221"),  # 2 then has its share
     "NO-3": script(room, "full come:1@1 back let=1 held=1:8"),
     "NO-4": script(room, "full come:222 let= held=1:8 counts=8/3/0/3"),
     "NO-5": script(room, "full size:4 come:2 let= back let= back let= back let= back let= let= back let=2"),
@@ -180,14 +180,14 @@
     "NO-8": script(room, "full mute:1@1 come:1@1 next=4 late@3.99= late@4=8"),
     "NO-9": script(room, "full come:1@1 come:2@1.5 late@5.99= late@6=8 drop:8 counts=8/1/0/1 next=6.5",
                    "full mute:1@1 spoke:8@2 next=7 late@6.9= late@7=8"),
-    "NO-28": script(room, "full come:1111@1 mute:111@2 mute:2@2.1 mute:1@2.4=- "  # its way may be long
+    "NO-28": script(room, "full come:1111@1 mute:111@2 mute:2@2.1 mute:1@2.4=- "  # its route may be long
                     "come:1@2.5=12 come:1@2.6=13 come:1@2.7=14 counts=8/8/1/7"),
     "NO-10": script(out, f"ask:0-9a go={ALL_8} go= came:3 ask:50b go=8,50 gone:0 go=9 sizes=9/9/9"),
     "NO-11": script(partial(out, 64), "ask:0-99a go=0,1,2,3 narrow came:0 window=2 came:1 window=2.5 go= "
                     "came:2 window=2.9 go=4 came:3-4 go=5,6,7 came:5-7 window=4"),
     "NO-12": script(out, "ask:0-7a go came:0@0.3125 window=8 came:1-7@0.32 window=4"),
     "NO-13": script(out, f"ask:0-7a go late@1.2= late@1.25={ALL_8} failed:0@2=1 window=4 gone:1-7 "
-                    "ask:20-21a@2 go@2= due@2=True then=20 "  # alone, though the window has room
+                    "ask:20-21a@2 go@2= due@2=True then=20 "  # alone, although the window allows more
                     "came:20@2.2 go@2.2=21"),
     "NO-14": script(out, "ask:0-11a go failed:0@0.1 go@0.1= failed:1@0.1 go@0.1=8a!,9a!,10a!,11a! "
                     "failed:2-7@0.2=6"),
@@ -210,14 +210,14 @@
         self.loop, self.relays = asyncio.get_running_loop(), relays or Relays(asyncio.get_running_loop())
         (self.customer, self.near), (self.server, near) = self.tcp(), self.tcp()
         self.relay = self.relays.start(self.near, near, self.ended)
-        self.said = self.sent = self.overs = 0  # octets of `answer`, of `fill`; how often it was told its end
+        self.said = self.sent = self.overs = 0  # bytes of `answer` and `fill`; calls of `ended`
         logs.counters.clear()
         self.end = lambda what, at: getattr(self, what).shutdown(socket.SHUT_WR)
         self.quit = lambda what, at: getattr(self, what).close()
         self.counted = lambda what, at: logs.counters[what]
         self.stand = lambda what, at: self.relays.sweep(
             self.relays.last_sweep_at + at
-        )  # this process stood still
+        )  # this process was stalled
         self.dropped = lambda what, at: (
             1 << 20 <= self.relay.directions[0].discarded < (1 << 20) + WINDOW_BYTES
         )
@@ -273,7 +273,7 @@
         self.quit(what, at)
 
     async def fill(self, what: str = "", at: float = 0.0) -> None:
-        """Send as much as possible while nobody reads."""
+        """Send as much as possible while the peer does not read."""
         still = 0
         while still < 50 or not (self.relays.blocked or self.relays.lingering):
             try:
@@ -309,7 +309,7 @@
         while not full():
             self.said += self.server.send(bytes(WINDOW_BYTES // 2))
             await self.until(lambda: not relay.unacknowledged_bytes(self.server))
-            await anyio.sleep(0.2 if full() else 0.005)  # an ack may be late
+            await anyio.sleep(0.2 if full() else 0.005)  # an acknowledgement may be late
         self.server.close()
         await self.until(lambda: self.overs or what != "whole")
 
@@ -364,7 +364,7 @@
     return script(Plays, "play")
 
 
-PASSES = "say:customer hear:server=1 say:server hear:customer=1"  # and back: nothing is on its way then
+PASSES = "say:customer hear:server=1 say:server hear:customer=1"  # and back, so that nothing is in flight
 RULES |= {
     "NO-20": script(Ends, f"{PASSES} reset:customer all:server=reset over=1/0",
                     f"{PASSES} reset:server all:customer=reset over=1/0"),
@@ -378,7 +378,7 @@
                     "answer:held say:customer524288 writing:customer=answer over=1/1"),
     "NO-27": script(Ends, "fill stand@300 over=0/0 late:node_stalled@30=True"),
     "NO-29": script(Ends, "answer:whole late:node_rest_late@5=True",
-                    # Once it has all it may still be about to read it.
+                    # All data may have arrived but not been read yet.
                     "answer:whole all:customer=answer over=1/1 quit:customer gone counted:node_rest_late=0",
                     "answer:whole stand@9 over=1/1 late:node_rest_late@5=True",
                     "answer:whole end:customer gone all:customer=answer"),
@@ -391,10 +391,10 @@
 @on_sockets
 async def passes(t: unittest.TestCase, ends: Ends) -> None:
     body = Random(1).randbytes(40 * WINDOW_BYTES)
-    for way in ends.relay.directions:  # accepted: what its listener was told holds for it
+    for way in ends.relay.directions:  # accepted sockets inherit the listener's options
         tcp = [way.source.getsockopt(socket.IPPROTO_TCP, option)
                for option in (socket.TCP_NODELAY, socket.TCP_USER_TIMEOUT)]  # fmt: skip
-        # Found after 90 s where octets are unacked as well: no probe of the machine goes out then.
+        # With unacknowledged bytes no keepalive probes are sent; TCP_USER_TIMEOUT then ends it after 90 s.
         t.assertEqual(tcp, [1, 90_000])
         t.assertEqual(way.source.getsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE), 1)
         t.assertEqual(way.source.getsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF), 2 * KERNEL_BUFFER_BYTES)
@@ -435,7 +435,7 @@
     other.close()
 
 
-# Customers, by seats that are told here.
+# Client sessions, with assignments given by the test.
 
 
 def customers(
@@ -501,14 +501,14 @@
         )
         self.assertEqual(said, ["seat", "seat"])
         for far in all_far:
-            with suppress(ConnectionResetError):  # what it said was not read
+            with suppress(ConnectionResetError):  # its data was not read
                 self.assertEqual(far.recv(9), b"")
 
     async def test_one_that_is_late_and_broken_ends_no_turn(self) -> None:
         sessions, now = customers(self, 2, {})[0], clock()
         sessions._connect = lambda now, guest: None  # type: ignore[method-assign]
         sessions.advance(now)
-        self.assertEqual(len(sessions.connector.in_progress), 2)  # with no way there
+        self.assertEqual(len(sessions.connector.in_progress), 2)  # not reachable
         sessions.advance(now + upstream_connector.CONNECT_TIMEOUT_SECONDS)
         self.assertEqual((sessions.connector.in_progress, sessions.open_sessions), ({}, {}))
 
@@ -550,7 +550,7 @@
             listener.Service(SERVICE_NORTH.settings, 0, lambda *_: None).open(1)
 
 
-NEEDS = 2304 + 64 + 16  # descriptors of a node, besides its connections and services
+NEEDS = 2304 + 64 + 16  # descriptors of a node in addition to its connections and services
 
 
 @rule(34)
@@ -569,7 +569,7 @@
                 t.assertRegex(str(error), rf"^\[node\] connections: .*{why}")
                 continue
             t.assertEqual(why, "")
-            here = SimpleNamespace(services=dict.fromkeys(range(5)))  # that go once the new ones are open
+            here = SimpleNamespace(services=dict.fromkeys(range(5)))  # removed once the new ones are open
             ProxyNode._raise_descriptor_limit(cast(Any, here), orders(connections, services)["node"])
             need = NEEDS + 3 * connections + connections // 4 + services + 5
             soft = need if hard < 0 else min(need, hard)
@@ -586,7 +586,7 @@
     places = cast(Any, node.migration.coordinator).tenant_states
 
     def told(what: str, at: float) -> str:
-        """Its room, which of the seven it tells, how many it does not, and lines."""
+        """Return capacity, announced ones of the seven, number of unannounced tenants, and log lines."""
         lines.clear()
         with mock.patch.object(logs, "log_event", lambda level, what, *_, **__: lines.append(what)):
             node._publish(clock())
@@ -605,14 +605,14 @@
 
 RULES |= {
     "NO-32": script(tells, "told=8//0/0 full:t1023 on_way:t1023@1 told=8/t1023/0/0 "
-                    "on_way:t1023@0 told=0/t1023/0/0 less:t0000 told=8/t1023/0/0"),  # till then it wants room
+                    "on_way:t1023@0 told=0/t1023/0/0 less:t0000 told=8/t1023/0/0"),  # needs capacity
     "NO-33": script(tells, "full:t1025 told full:t1029 told=0/t1025/1/1 full:t1024 told=0/t1025/2/0 "
                     "shown=1026 file:t1029 less:t0000 told=0/t1025,t1029/1/0 less:t0001 "
                     "told=0/t1024,t1025,t1029/0/0 less:t0002 told=8/t1024,t1025,t1029/0/0"),
 }  # fmt: skip
 
 
-# What is announced.
+# Announcement levels.
 
 ADDRESSES = tuple(map(ip_network, ("198.51.100.7/32", "198.51.100.8/32", "198.51.100.9/32")))
 SERVICES = [service_at("a", "198.51.100.7:507"), service_at("b", "198.51.100.8:508")]
@@ -635,7 +635,7 @@
         t.assertEqual(settled(10.0 * len(controller.caps) + 10.0 * wanted), [wanted, Level.FULL, Level.FULL])
     controller.caps = advertisement_levels.caps(ADDRESSES, SERVICES, {"a": "less"})
     controller.start_drain(100.0, 104.0)
-    t.assertEqual(settled(101.0), [Level.WITHDRAWN] * 3)  # a cap lifts nothing
+    t.assertEqual(settled(101.0), [Level.WITHDRAWN] * 3)  # a cap does not raise a level
 
 
 @rule(26)
@@ -787,7 +787,7 @@
 
 class Processes(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
-        asyncio.get_running_loop().set_debug(False)  # it tells of every turn that is slow
+        asyncio.get_running_loop().set_debug(False)  # otherwise logs every slow turn
 
     async def said(self, *command: object) -> tuple[int, str, str]:
         whole = [sys.executable, "-m", "thymeyoke", *map(str, command)]
@@ -806,10 +806,10 @@
             self.assertEqual(found, (12, {12}, 2), meets.met)
             silent = [await meets.line(30) for _ in range(20)]
             await meets.visit(31)
-            for line in silent:  # closed in time, without a word to any app server
+            for line in silent:  # closed in time, without a message to any app server
                 await line.until(lambda line=line: line.closed, 8.0)
             for command, code, out, error in (
-                # Under the name of another one that lives.
+                # With the name of another live node.
                 (
                     ("node", "--service-config", orders),
                     1,
@@ -874,7 +874,7 @@
             orders.write_text(f"{kept}{east}address = 127.0.0.1:{other}\n")
             node.signal(AGAIN)
             await here.until(lambda: node.said("service_config_reloaded"), 8.0)
-            await meets.op(south, "south")  # its connection stays
+            await meets.op(south, "south")  # its connection is kept
             with self.assertRaises(OSError):
                 await meets.line(11, tenant="south")
             async with await anyio.connect_tcp(HERE, other):
@@ -893,7 +893,7 @@
             for line in held:
                 await meets.op(line)
             for at in range(4 * MOST):
-                with suppress(OSError, *LOST):  # those past the room are reset at once
+                with suppress(OSError, *LOST):  # connections over the limit are reset at once
                     crowd.append(await meets.line(31 + at))
                     await crowd[-1].ask("look", b"op", project="north")
             await here.until(lambda: sum(not line.closed for line in crowd) == MOST, 4.0)
@@ -904,13 +904,13 @@
             self.assertIsNone((await south.answer(number, 4.0))[0])
             self.assertEqual([line.answers for line in crowd], [{}] * len(crowd))
             for line in held[1:]:
-                await meets.op(line)  # none of them was cut
+                await meets.op(line)  # none of them was closed
 
     async def test_app_servers_that_are_not_there(self) -> None:
         """If one dies, its clients move to the other; if both die, connections are closed and nothing ran."""
         async with drill(43, servers=2, nodes=1) as here:
             await here.up()
-            await here.ripe()  # before, all may be given to the one that is known first
+            await here.ripe()  # otherwise all may be assigned to the server that is known first
             meets = Meets(here)
             for dies, left in (("s1", {"s1", "s2"}), ("s2", {"s2"})):
                 meets.met.clear()
--- a/thymeyoke/proxy/__init__.py
+++ b/thymeyoke/proxy/__init__.py
@@ -1,1 +1,1 @@
-"""The process at layer four that carries seats and moves out. docs/proxy.md."""
+"""Proxy nodes at layer four: forward connections of clients to app servers; see docs/proxy.md."""
