--- a/thymeyoke/bgp/commands.py
+++ b/thymeyoke/bgp/commands.py
@@ -12,6 +12,7 @@
 
 from thymeyoke.configuration.options import service_config_option
 from thymeyoke.runtime import status_socket
+from thymeyoke.runtime.terminal import print_table
 
 
 def _query_status(control_at: Path | None, service_config: Path | None) -> dict[str, Any]:
@@ -32,13 +33,6 @@
         raise click.ClickException(str(error)) from None
 
 
-def _print_table(rows: list[list[str]]) -> None:
-    """Print aligned rows."""
-    widths = [max(map(len, column)) for column in zip(*rows, strict=True)]
-    for row in rows:
-        click.echo("  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True)).rstrip())
-
-
 def _format_duration(seconds: float) -> str:
     """Format a duration in the largest suitable unit."""
     for unit, size in (("d", 86400), ("h", 3600), ("min", 60)):
@@ -84,7 +78,7 @@
             peer["peer"], peer["address"], str(peer["as"]), peer["state"], _format_duration(peer["for"]),
             f"{peer['hold']:g} s" if peer["hold"] else "-", str(len(peer["held"])), str(peer["flaps"]), error,
         ])  # fmt: skip
-    _print_table(rows)
+    print_table(rows)
     click.echo()
     rows = [["SERVICE ADDRESS", "LEVEL", "FOR", "CHANGES", "OTHERS", "WHY"]]
     for one in status["addresses"]:
@@ -98,7 +92,7 @@
                 one["why"],
             ]
         )
-    _print_table(rows)
+    print_table(rows)
 
 
 @group.command()
@@ -130,10 +124,10 @@
         facts = {name: status[name] for name in ("looks", "crowd", "budget", "drain", "peers")}
         return click.echo(orjson.dumps(one | facts, option=orjson.OPT_INDENT_2).decode())
     click.echo(f"{one['address']} is {one['level']} for {_format_duration(one['for'])}: {one['why']}")
-    for name, held in one["peers"].items():
+    for name, announcement in one["peers"].items():
         peer = next(peer for peer in status["peers"] if peer["peer"] == name)
-        error_text = f", last error {peer['error']}" if held == "no session" and peer["error"] else ""
-        click.echo(f"  peer {name}: {held} ({peer['state']}{error_text})")
+        error_text = f", last error {peer['error']}" if announcement == "no session" and peer["error"] else ""
+        click.echo(f"  peer {name}: {announcement} ({peer['state']}{error_text})")
     for other in one["known"]:
         preference = "in full" if other["in_full"] else "less preferred"
         click.echo(f"  {other['who']} announces it too, {preference}, says {other['peer']}")
--- a/thymeyoke/bgp/peer_connection.py
+++ b/thymeyoke/bgp/peer_connection.py
@@ -39,14 +39,13 @@
 from thymeyoke.runtime import logs
 from thymeyoke.runtime.clock import clock
 from thymeyoke.runtime.extensions import HostConfigurationError
+from thymeyoke.runtime.streams import CONNECTION_LOST_ERRORS
 
 READ_BYTES = 1 << 14
-RECEIVE_BURST_BYTES, RECEIVE_BURST_SECONDS = (
-    float(1 << 20),
-    8.0,
-)  # limit for received bytes, and its refill time
+# Limit for received bytes, and its refill time
+RECEIVE_BURST_BYTES = float(1 << 20)
+RECEIVE_BURST_SECONDS = 8.0
 MAX_PENDING_MESSAGES = 8  # more only accumulate if the peer does not read
-CONNECTION_ERRORS = (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError, OSError)
 
 
 def local_parameters(settings: Announce, peer: Peer) -> LocalParameters:
@@ -59,11 +58,9 @@
     """One transport connection with its session. A further one is created if the peer connects as well."""
 
     def __init__(self, peer_connection: PeerConnection, session: Session, opened_locally: bool) -> None:
-        self.peer_connection, self.session, self.opened_locally = (
-            peer_connection,
-            session,
-            opened_locally,
-        )
+        self.peer_connection = peer_connection
+        self.session = session
+        self.opened_locally = opened_locally
         self.stream: SocketStream | None = None
         self.reader = wire.MessageReader()
         self.pending: list[bytes] = []
@@ -199,7 +196,7 @@
         while self.stream is stream:
             try:
                 data = await stream.receive(READ_BYTES)
-            except CONNECTION_ERRORS:
+            except CONNECTION_LOST_ERRORS:
                 return
             now = clock()
             if not self.receive_limit.has_tokens(now, len(data)):
@@ -235,7 +232,7 @@
             self._start_send_hold(len(batch))
             try:
                 await stream.send(batch)
-            except CONNECTION_ERRORS:
+            except CONNECTION_LOST_ERRORS:
                 return
             self.writing = False
 
@@ -325,12 +322,10 @@
         rng: Random,
         on_change: Callable[[], None],
     ) -> None:
-        self.settings, self.peer, self.received_paths, self.on_change = (
-            settings,
-            peer,
-            received_paths,
-            on_change,
-        )
+        self.settings = settings
+        self.peer = peer
+        self.received_paths = received_paths
+        self.on_change = on_change
         self.rng, self.damping = rng, FlapDamping(FLAP_HALF_LIFE_FACTOR * peer.hold)
         self.wanted_levels: Mapping[Prefix, Level] = {}
         self.withdrawal_timeout: float | None = None  # seconds for withdrawals to be acknowledged
@@ -347,11 +342,9 @@
         self, wanted_levels: Mapping[Prefix, Level], settings: Announce, withdrawal_timeout: float | None
     ) -> None:
         """Set the levels to advertise; with a timeout if withdrawals must arrive soon."""
-        self.wanted_levels, self.settings, self.withdrawal_timeout = (
-            wanted_levels,
-            settings,
-            withdrawal_timeout,
-        )
+        self.wanted_levels = wanted_levels
+        self.settings = settings
+        self.withdrawal_timeout = withdrawal_timeout
         if withdrawal_timeout is not None:
             self.primary.shorten_send_hold(withdrawal_timeout)
         self.primary.request_write()
--- a/thymeyoke/bgp/tcp.py
+++ b/thymeyoke/bgp/tcp.py
@@ -22,6 +22,7 @@
 from thymeyoke.bgp.configuration import Announce, Peer
 from thymeyoke.configuration.service_config import HostPort, IpAddress
 from thymeyoke.runtime.extensions import HostConfigurationError
+from thymeyoke.runtime.streams import CONNECTION_LOST_ERRORS
 
 TCP_MD5SIG = 14  # linux/tcp.h
 IP_MINTTL, IPV6_MINHOPCOUNT = 21, 73  # linux/in.h, linux/in6.h
@@ -147,7 +148,7 @@
     would discard data that the peer has not read.
     """
     sock = stream.extra(SocketAttribute.raw_socket)
-    with suppress(OSError, anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError):
+    with suppress(*CONNECTION_LOST_ERRORS):
         if notified:
             with anyio.move_on_after(CLOSE_GRACE):
                 while True:
--- a/thymeyoke/ledger/commands.py
+++ b/thymeyoke/ledger/commands.py
@@ -17,6 +17,7 @@
 from thymeyoke.ledger.export_store import ExportStore
 from thymeyoke.ledger.usage_entries import MICRO_UNITS, Amounts
 from thymeyoke.ledger.usage_journal import StoreError, UsageJournal
+from thymeyoke.runtime.terminal import print_table
 
 AMOUNT_NAMES = ("ops", "run", "calls", "importance", "octets")
 
@@ -43,7 +44,7 @@
         )
     try:
         database = usage_journal.open_database(path / usage_journal.FILE_NAME)
-        (length,) = database.execute("SELECT value FROM meta WHERE name = 'length'").fetchone()
+        length = usage_journal.read_meta(database, "length")
         database.close()
         journal = UsageJournal(path, length, is_start=False)
     except (StoreError, sqlite3.Error) as error:
@@ -86,10 +87,7 @@
     if not rows:
         return click.echo("nothing")
     header = [name.upper() for name in rows[0]]
-    table = [header, *([_cell(*pair) for pair in row.items()] for row in rows)]
-    widths = [max(map(len, column)) for column in zip(*table, strict=True)]
-    for cells in table:
-        click.echo("  ".join(cell.ljust(width) for cell, width in zip(cells, widths, strict=True)).rstrip())
+    print_table([header, *([_cell(*pair) for pair in row.items()] for row in rows)])
 
 
 def _cell(name: str, value: Any) -> str:
--- a/thymeyoke/ledger/export.py
+++ b/thymeyoke/ledger/export.py
@@ -13,10 +13,9 @@
 from thymeyoke.ledger.wire import Acknowledgement, Batch, Hello, Rejection, Welcome
 
 MAX_UNACKNOWLEDGED_BATCHES = 8
-RETRY_DELAY, MAX_RETRY_DELAY = (
-    0.2,
-    30.0,
-)  # seconds; doubled with each attempt, with jitter over its upper half
+# Seconds; doubled with each attempt, with jitter over its upper half
+RETRY_DELAY = 0.2
+MAX_RETRY_DELAY = 30.0
 RESPONSE_TIMEOUT = 5.0  # seconds
 RETRY_BUDGET_PER_BATCH = 0.2  # keeps retries a fixed share of the acknowledged batches
 MAX_RETRY_BUDGET = 10.0
@@ -84,13 +83,11 @@
     def __init__(
         self, rng: Random, acknowledged: int, last_batch: int, first_kept: int, receiver: bytes
     ) -> None:
-        self.rng, self.acknowledged, self.last_batch, self.first_kept, self.receiver = (
-            rng,
-            acknowledged,
-            last_batch,
-            first_kept,
-            receiver,
-        )
+        self.rng = rng
+        self.acknowledged = acknowledged
+        self.last_batch = last_batch
+        self.first_kept = first_kept
+        self.receiver = receiver
         self.state, self.reason = ExportState.DISCONNECTED, ""
         self.last_sent = acknowledged  # number of the last batch sent on this connection
         self.attempts, self.retry_budget = 0, MAX_RETRY_BUDGET
--- a/thymeyoke/ledger/export_store.py
+++ b/thymeyoke/ledger/export_store.py
@@ -13,7 +13,15 @@
 from thymeyoke.ledger import wire
 from thymeyoke.ledger.export import StoredPrefix, check_batch
 from thymeyoke.ledger.statement import ReceivedJournal, contiguous_batches
-from thymeyoke.ledger.usage_journal import StoreError, Transaction, no_failpoint, open_database
+from thymeyoke.ledger.usage_journal import (
+    StoreError,
+    Transaction,
+    check_format,
+    create_tables,
+    no_failpoint,
+    open_database,
+    read_meta,
+)
 from thymeyoke.ledger.wire import Acknowledgement, Batch, Rejection
 
 FORMAT_VERSION = 1
@@ -35,18 +43,9 @@
         self.database = open_database(self.path)
         try:
             with Transaction(self.database):
-                if not self.database.execute("SELECT 1 FROM sqlite_master WHERE name = 'meta'").fetchone():
-                    for statement in SCHEMA.strip().split(";\n"):
-                        self.database.execute(statement)
-                    initial_values = {"format": FORMAT_VERSION, "receiver": token_bytes(16)}
-                    self.database.executemany("INSERT INTO meta VALUES (?, ?)", initial_values.items())
-            query = "SELECT value FROM meta WHERE name = ?"
-            (version,) = self.database.execute(query, ("format",)).fetchone()
-            if version != FORMAT_VERSION:
-                raise StoreError(
-                    f"{self.path}: format {version} is not supported, only format {FORMAT_VERSION}"
-                )
-            (self.receiver_id,) = self.database.execute(query, ("receiver",)).fetchone()
+                create_tables(self.database, SCHEMA, FORMAT_VERSION, {"receiver": token_bytes(16)})
+            check_format(self.database, self.path, FORMAT_VERSION)
+            self.receiver_id: bytes = read_meta(self.database, "receiver")
         except sqlite3.DatabaseError as error:
             self.database.close()
             raise StoreError(f"{self.path}: {error}") from None
--- a/thymeyoke/ledger/exporter.py
+++ b/thymeyoke/ledger/exporter.py
@@ -26,9 +26,9 @@
 from thymeyoke.ledger.usage_journal import BatchReference, UsageJournal
 from thymeyoke.runtime import logs
 from thymeyoke.runtime.clock import clock
+from thymeyoke.runtime.streams import CONNECTION_LOST_ERRORS
 
 READ_BYTES = 1 << 14
-CONNECTION_ERRORS = (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError, OSError)
 
 RunInThread = Callable[[Callable[[], Any]], Awaitable[Any]]
 
@@ -55,9 +55,8 @@
         self.sender.first_kept = first_kept
         for number, hash_ in batches:
             self.sender.add_batch(number, hash_)
-        oldest_needed = (
-            min(first_kept, self.sender.acknowledged) - 1
-        )  # the receiver may report any batch from here on
+        # The receiver may report any batch from here on.
+        oldest_needed = min(first_kept, self.sender.acknowledged) - 1
         self.sender.hashes = {
             batch_number: hash_
             for batch_number, hash_ in self.sender.hashes.items()
@@ -129,7 +128,7 @@
                             raise wire.ProtocolError("receiver sent a message that only a sender sends")
                     await self._perform(stream, actions)
                     self.wakeup.set()
-        except CONNECTION_ERRORS:
+        except CONNECTION_LOST_ERRORS:
             self.sender.connection_lost(clock(), "connection lost")
         except wire.ProtocolError as error:
             logs.counters["ledger_export_garbled"] += 1
@@ -164,5 +163,5 @@
             with anyio.fail_after(5.0):
                 async with self.send_lock:
                     await stream.send(wire.encode(outgoing))
-        except (*CONNECTION_ERRORS, TimeoutError):
+        except (*CONNECTION_LOST_ERRORS, TimeoutError):
             self.sender.connection_lost(clock(), "connection lost")
--- a/thymeyoke/ledger/usage_journal.py
+++ b/thymeyoke/ledger/usage_journal.py
@@ -84,6 +84,30 @@
         self.database.execute("COMMIT" if kind is None else "ROLLBACK")
 
 
+def create_tables(
+    database: sqlite3.Connection, schema: str, format_version: int, initial_values: dict[str, Any]
+) -> None:
+    """Create the tables of a store unless they exist, with the first values of its table `meta`."""
+    if database.execute("SELECT 1 FROM sqlite_master WHERE name = 'meta'").fetchone():
+        return
+    for statement in schema.strip().split(";\n"):
+        database.execute(statement)
+    values = {"format": format_version} | initial_values
+    database.executemany("INSERT INTO meta VALUES (?, ?)", values.items())
+
+
+def read_meta(database: sqlite3.Connection, name: str) -> Any:
+    """Return a value of a store's table `meta`."""
+    return database.execute("SELECT value FROM meta WHERE name = ?", (name,)).fetchone()[0]
+
+
+def check_format(database: sqlite3.Connection, path: Path, format_version: int) -> None:
+    """Raise `StoreError` if a store has another format than this version reads."""
+    found = read_meta(database, "format")
+    if found != format_version:
+        raise StoreError(f"{path}: format {found} is not supported, only format {format_version}")
+
+
 class BatchReference(NamedTuple):
     """Number and hash of a batch."""
 
@@ -120,28 +144,21 @@
     def _open(self, length: int, is_start: bool) -> None:
         """Create the tables if necessary, check the format, and load the state."""
         with Transaction(self.database):
-            if not self.database.execute("SELECT 1 FROM sqlite_master WHERE name = 'meta'").fetchone():
-                for statement in SCHEMA.strip().split(";\n"):
-                    self.database.execute(statement)
-                initial_values = {
-                    "format": FORMAT_VERSION,
-                    "book": token_bytes(16),
-                    "length": length,
-                    "start": 0,
-                    "latest": 0.0,
-                    "closed": -1,
-                    "acked": 0,
-                    "receiver": b"",
-                    "kept": 1,
-                    "anchor": b"",
-                    "group": b"",
-                    "folded_through": 0,
-                }
-                self.database.executemany("INSERT INTO meta VALUES (?, ?)", initial_values.items())
-            if (format_ := self.read_meta("format")) != FORMAT_VERSION:
-                raise StoreError(
-                    f"{self.path}: format {format_} is not supported, only format {FORMAT_VERSION}"
-                )
+            initial_values = {
+                "book": token_bytes(16),
+                "length": length,
+                "start": 0,
+                "latest": 0.0,
+                "closed": -1,
+                "acked": 0,
+                "receiver": b"",
+                "kept": 1,
+                "anchor": b"",
+                "group": b"",
+                "folded_through": 0,
+            }
+            create_tables(self.database, SCHEMA, FORMAT_VERSION, initial_values)
+            check_format(self.database, self.path, FORMAT_VERSION)
             if self.read_meta("length") != length:
                 raise StoreError(
                     f"{self.path}: its periods are {self.read_meta('length')} s; set [ledger] period to that"
@@ -157,7 +174,7 @@
 
     def read_meta(self, name: str) -> Any:
         """Return a value of the table `meta`."""
-        return self.database.execute("SELECT value FROM meta WHERE name = ?", (name,)).fetchone()[0]
+        return read_meta(self.database, name)
 
     def _write_meta(self, **values: Any) -> None:
         """Update values of the table `meta`."""
--- a/thymeyoke/ledger/usage_recorder.py
+++ b/thymeyoke/ledger/usage_recorder.py
@@ -87,10 +87,8 @@
     def __init__(self, settings: Ledger, context: ExtensionContext) -> None:
         self.settings, self.rng = settings, Random(context.seed)
         self.server_name = context.name
-        self.tenants, self.request_classes = (
-            list(context.request_names.tenants) or [""],
-            list(context.request_names.request_classes),
-        )
+        self.tenants = list(context.request_names.tenants) or [""]
+        self.request_classes = list(context.request_names.request_classes)
         self.dispatcher: MemoryObjectSendStream[StatusQuery] = context.dispatcher
         self.recent_run_times = RecentRunTimes()
         self.queue: deque[PendingUsage] = deque()
--- a/thymeyoke/membership/transport.py
+++ b/thymeyoke/membership/transport.py
@@ -22,6 +22,7 @@
 from thymeyoke.runtime import logs, msgpack_rpc
 from thymeyoke.runtime.clock import clock
 from thymeyoke.runtime.mailbox import take_all
+from thymeyoke.runtime.streams import CONNECTION_LOST_ERRORS
 
 MAX_UNSENT_MESSAGES = 64  # in the outbox of one link
 CONNECT_TIMEOUT_PERIODS, WRITE_TIMEOUT_PERIODS = 1.0, 2.0
@@ -33,7 +34,6 @@
 ACCEPT_BACKOFF_SECONDS = 0.05  # after a failed accept
 LISTENER_CLOSED_ERRNOS = (errno.EBADF, errno.EINVAL, errno.ENOTSOCK)  # of accept on a closed listener
 USER_TIMEOUT = getattr(socket, "TCP_USER_TIMEOUT", 18)
-CONNECTION_LOST_ERRORS = (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError, OSError)
 
 
 class LinkLimits(NamedTuple):
--- a/thymeyoke/proxy/commands.py
+++ b/thymeyoke/proxy/commands.py
@@ -10,6 +10,7 @@
 import orjson
 
 from thymeyoke.configuration.options import service_config_option
+from thymeyoke.runtime.terminal import print_table
 
 
 @click.command("node")
@@ -43,10 +44,11 @@
 
 @click.group("moves")
 def moves() -> None:
-    """Which tenant should go to another node, and how far that is."""
+    """Show recommended and running migrations of tenants between nodes."""
 
 
-def _found(control_at: Path | None, service_config: Path | None) -> dict[str, Any]:
+def _query_status(control_at: Path | None, service_config: Path | None) -> dict[str, Any]:
+    """Query the running node for its status."""
     from thymeyoke.runtime import status_socket
 
     if control_at is None:
@@ -72,27 +74,25 @@
 @moves.command()
 @click.option("--control", "control_at", type=click.Path(path_type=Path), help="The node's socket.")
 @service_config_option()
-@click.option("--json", "as_json", is_flag=True, help="All of it, as JSON.")
+@click.option("--json", "as_json", is_flag=True, help="Print everything as JSON.")
 def show(control_at: Path | None, service_config: Path | None, as_json: bool) -> None:
-    """What the running node recommends, in which state each recommendation is, and why.
+    """Show what the running node recommends, the state of each recommendation, and why.
 
     \b
     Example: python -m thymeyoke moves show --service-config examples/fleet/node-1.ini
     """
-    told = _found(control_at, service_config)
+    status = _query_status(control_at, service_config)
     if as_json:
-        return click.echo(orjson.dumps(told, option=orjson.OPT_INDENT_2).decode())
-    if not told["moves"]:
-        return click.echo(f"{told['name']} has no [moves]: it recommends nothing")
+        return click.echo(orjson.dumps(status, option=orjson.OPT_INDENT_2).decode())
+    if not status["moves"]:
+        return click.echo(f"{status['name']} has no [moves]: it recommends nothing")
     from thymeyoke.migration import presentation
 
-    click.echo(f"{told['name']} holds {', '.join(told['holds']) or 'no tenant'}")
-    for line in presentation.lines(told):
+    click.echo(f"{status['name']} holds {', '.join(status['holds']) or 'no tenant'}")
+    for line in presentation.lines(status):
         click.echo(line)
-    if not told["recommendations"]:
+    if not status["recommendations"]:
         click.echo("no move is recommended")
-    for rows in presentation.tables(told):
+    for rows in presentation.tables(status):
         click.echo()
-        wide = [max(map(len, column)) for column in zip(*rows, strict=True)]
-        for row in rows:
-            click.echo("  ".join(cell.ljust(width) for cell, width in zip(row, wide, strict=True)).rstrip())
+        print_table(rows)
