--- a/benchmarks/bgp.py
+++ b/benchmarks/bgp.py
@@ -186,11 +186,9 @@
                          for at in range(0, PATHS, 200))  # fmt: skip
         spans = []
         for measured in (False, False, False, True):
-            session, received_paths, reader = (
-                Session(local, Random(1)),
-                ReceivedPaths(64512, [], 1000, [ip_network(ADDRESS)]),
-                wire.MessageReader(),
-            )
+            session = Session(local, Random(1))
+            received_paths = ReceivedPaths(64512, [], 1000, [ip_network(ADDRESS)])
+            reader = wire.MessageReader()
             session.handle_event(0.0, Event.START)
             session.handle_event(0.0, Event.TCP_UP)
             session.receive(0.0, peer_open)
--- a/fakes/bgp.py
+++ b/fakes/bgp.py
@@ -69,9 +69,8 @@
         self.reading = anyio.Event()
         self.reading.set()
         self.gates: dict[str, anyio.Event] = {}  # delay "open" (of the first connection) or "keepalive"
-        self.extra: Callable[[Client], list[wire.Message | bytes]] = (
-            lambda client: []
-        )  # sent once the session is established
+        # Sent once the session is established.
+        self.extra: Callable[[Client], list[wire.Message | bytes]] = lambda client: []
 
     # State for tests.
 
--- a/fakes/fleet.py
+++ b/fakes/fleet.py
@@ -49,11 +49,9 @@
 
     def __init__(self, number: int, folder: Path) -> None:
         self.number, self.folder, self.id = number, folder, f"192.0.2.{number + 1}"
-        self.processor, self.database, self.roster = (
-            Processor(SPAN, calls=0, cores=CORES),
-            Database(),
-            Roster(),
-        )
+        self.processor = Processor(SPAN, calls=0, cores=CORES)
+        self.database = Database()
+        self.roster = Roster()
         self.port = 0
         self.process: subprocess.Popen[bytes] | None = None
         self.router: Router | None = None
--- a/fakes/simulated_affinity.py
+++ b/fakes/simulated_affinity.py
@@ -50,12 +50,10 @@
         seed: int = 1,
     ) -> None:
         self.now, self.table_type, self.rng, self.loss = 1000.0, table_type, Random(seed), 0.0
-        self.idle_timeout, self.margin, self.max_bindings, self.tick = (
-            idle_timeout,
-            margin,
-            max_bindings,
-            margin / ticks,
-        )
+        self.idle_timeout = idle_timeout
+        self.margin = margin
+        self.max_bindings = max_bindings
+        self.tick = margin / ticks
         self.late = dict(late or {})
         self.incarnations: Counter[str] = Counter()
         self.servers: dict[str, ServerFacts] = {}
--- a/fakes/simulated_fleet.py
+++ b/fakes/simulated_fleet.py
@@ -145,17 +145,14 @@
         self.world, self.net, self.me, self.period = world, net, me, period
         self.seen: dict[str, ObservedProcess] = {}
         self.version = 0
-        self.detection_factor = world.rng.uniform(
-            0.8, 1.2
-        )  # differs, so that viewers declare a process dead at different times
+        # Differs, so that viewers declare a process dead at different times.
+        self.detection_factor = world.rng.uniform(0.8, 1.2)
 
     def current_view(self, processes: Collection[Process]) -> View:
         now, me, net, rng = self.world.now, self.me.name, self.net, self.world.rng
         free = not (net.cuts or net.sides)
-        unsure, dead = (
-            UNSURE_PERIODS * self.period * self.detection_factor,
-            DEAD_PERIODS * self.period * self.detection_factor,
-        )
+        unsure = UNSURE_PERIODS * self.period * self.detection_factor
+        dead = DEAD_PERIODS * self.period * self.detection_factor
         stale, half = STALE_PERIODS * self.period, HALF_WEIGHT_PERIODS * self.period
         members: dict[str, Member] = {}
         for one in processes:
@@ -339,16 +336,13 @@
         self.last: list[ServerIncarnation] = [NO_SERVER] * many
         self.last_rendezvous: list[ServerIncarnation] = [NO_SERVER] * many
         self.last_modulo: list[ServerIncarnation] = [NO_SERVER] * many
-        self.first: list[tuple[PlainHashing, str] | None] = [
-            None
-        ] * many  # last choice of plain rendezvous hashing
+        # Last choice of plain rendezvous hashing.
+        self.first: list[tuple[PlainHashing, str] | None] = [None] * many
         self.counting = False
         self.returned: set[int] = set()  # clients that returned with a live assignment since counting began
-        self.affinity, self.rendezvous, self.modulo = (
-            AssignmentChanges(),
-            AssignmentChanges(),
-            AssignmentChanges(),
-        )
+        self.affinity = AssignmentChanges()
+        self.rendezvous = AssignmentChanges()
+        self.modulo = AssignmentChanges()
         self.counts: Counter[str] = Counter()
         self.longest_wait = 0.0  # for an assignment, in seconds
         self.numbers = count()
@@ -439,11 +433,9 @@
                 self.rendezvous.note(client, self._gone(node, self.last_rendezvous[client]))
             if last_modulo != self.last_modulo[client]:
                 self.modulo.note(client, self._gone(node, self.last_modulo[client]))
-        self.last[client], self.last_rendezvous[client], self.last_modulo[client] = (
-            place,
-            last_rendezvous,
-            last_modulo,
-        )
+        self.last[client] = place
+        self.last_rendezvous[client] = last_rendezvous
+        self.last_modulo[client] = last_modulo
 
     def _accepts(self, node: Node, name: str) -> bool:
         server = self.fleet.servers.get(name)
--- a/fakes/simulated_slow_start.py
+++ b/fakes/simulated_slow_start.py
@@ -79,12 +79,10 @@
     rest, and fails for 3 s at `fall_factor` times that number."""
 
     def __init__(self, world: World, usual_rate: float, fall_factor: float) -> None:
-        self.world, self.usual_rate, self.fall_factor, self.capacity_factor = (
-            world,
-            usual_rate,
-            fall_factor,
-            1.5,
-        )
+        self.world = world
+        self.usual_rate = usual_rate
+        self.fall_factor = fall_factor
+        self.capacity_factor = 1.5
         self.load, self.down_until, self.fall_count = LoadWindows(world), -inf, 0
 
     def call(self, call_ended: Callable[[Outcome], None]) -> None:
@@ -115,13 +113,11 @@
     def __init__(
         self, world: World, name: str, registry: Registry, dependency: Dependency, rate: float
     ) -> None:
-        self.world, self.name, self.registry, self.dependency, self.rate = (
-            world,
-            name,
-            registry,
-            dependency,
-            rate,
-        )
+        self.world = world
+        self.name = name
+        self.registry = registry
+        self.dependency = dependency
+        self.rate = rate
         self.alive, self.held_until, self.request_number = True, -inf, 0
         self.last_acknowledged = -inf  # when the last acknowledged report was sent
         self.first_listed = inf
--- a/fakes/slow_start.py
+++ b/fakes/slow_start.py
@@ -51,11 +51,10 @@
     """The event loop, the registry and the dependency."""
 
     def __init__(self, process_count: int, rate: float, seed: int, is_baseline: bool = False) -> None:
-        self.process_count, self.rate, self.is_baseline = (
-            process_count,
-            rate,
-            is_baseline,
-        )  # rate: calls a second of one process
+        # Rate: calls a second of one process
+        self.process_count = process_count
+        self.rate = rate
+        self.is_baseline = is_baseline
         self.now, self.turns = 0.0, count()
         self.heap: list[tuple[float, int, Process | None, Callable[..., None], tuple[Any, ...]]] = []
         self.random = Random(seed)
@@ -129,9 +128,8 @@
         """Start a new incarnation that is ready to report, `uptime` seconds after its start."""
         now = self.world.now
         self.incarnation += 1
-        sure = (
-            FALL_FACTOR * self.world.rate * CALL_SECONDS
-        )  # its share of the concurrency that causes no failure
+        # Its share of the concurrency that causes no failure.
+        sure = FALL_FACTOR * self.world.rate * CALL_SECONDS
         terms = RateLimits(
             MAX_CONCURRENT_CALLS,
             sure,
--- a/tests/app_server.py
+++ b/tests/app_server.py
@@ -226,9 +226,8 @@
             )
             self.ended.set()
 
-        self.start: dict[str, Any] | start_file.StartFileError = (
-            given  # the content of the start file at the next reload
-        )
+        # The content of the start file at the next reload.
+        self.start: dict[str, Any] | start_file.StartFileError = given
         self.where = await self.tasks.start(run)
 
     async def router(self) -> Router:
--- a/tests/conformance/test_design.py
+++ b/tests/conformance/test_design.py
@@ -324,11 +324,9 @@
     return {"machine": {"gauges": names}}
 
 
-HALF_SECOND_RUNS, ONE_SECOND_RUNS, SMALL_MEMORY = (
-    {"run_times": [0.5]},
-    {"run_times": [1.0]},
-    {"machine": {"memory": 100.0}},
-)
+HALF_SECOND_RUNS = {"run_times": [0.5]}
+ONE_SECOND_RUNS = {"run_times": [1.0]}
+SMALL_MEMORY = {"machine": {"memory": 100.0}}
 REPEAT, SUBJECT, MARKED_RETRY = {"class_index": 1, "original_id": 0}, {"subject": "s"}, {"is_retry": True}
 IN_TIME, TOO_LATE = {"time_left": 6.0}, {"time_left": 0.2, "queueing_delay": 1.9}
 NOT_RUN_OUTCOMES = {Outcome.REJECTED, Outcome.UNREACHABLE, Outcome.NOT_STARTED}
@@ -1059,13 +1057,11 @@
 
 
 # Mutation tests: with a rule disabled, the case of its row must fail.
-SUBMIT, WAIT, ESTIMATE, NEXT, ADAPT = (
-    AdmissionController.submit,
-    WaitPredictor.wait,
-    RunTimeEstimator.estimate,
-    FairQueue.next,
-    ConcurrencyLimit.adapt,
-)
+SUBMIT = AdmissionController.submit
+WAIT = WaitPredictor.wait
+ESTIMATE = RunTimeEstimator.estimate
+NEXT = FairQueue.next
+ADAPT = ConcurrencyLimit.adapt
 
 
 def do_nothing(*_: Any) -> None:
--- a/tests/fault_injection/test_affinity.py
+++ b/tests/fault_injection/test_affinity.py
@@ -195,9 +195,8 @@
                 await meets(here, "node-1")
             await visits(here, LATE)  # both nodes know the server by now
             here["node-2"].signal(STOP)
-            before = await visits(
-                here, 0.6 * here.linger
-            )  # bindings with less than 1.5 timeouts left are sent again
+            # Bindings with less than 1.5 timeouts left are sent again.
+            before = await visits(here, 0.6 * here.linger)
             await anyio.sleep(
                 2.2 * here.linger
             )  # bindings last for two timeouts; s3 ripens after one and a margin
--- a/tests/test_affinity.py
+++ b/tests/test_affinity.py
@@ -819,11 +819,9 @@
     NAMES = tuple(f"server-{at}" for at in range(30))
 
     def test_uniform_and_minimal_movement(self) -> None:
-        places, fewer, lone = (
-            RendezvousHash(self.NAMES),
-            RendezvousHash(self.NAMES[1:]),
-            RendezvousHash(self.NAMES[:1]),
-        )
+        places = RendezvousHash(self.NAMES)
+        fewer = RendezvousHash(self.NAMES[1:])
+        lone = RendezvousHash(self.NAMES[:1])
         many = 6000
         shares = Counter(places.first_choice(client_number(at)) for at in range(many))
         self.assertEqual(set(shares), set(self.NAMES))
--- a/tests/test_bgp_controller.py
+++ b/tests/test_bgp_controller.py
@@ -239,11 +239,9 @@
             self.table[at] = level
             for other in range(len(self.all)):
                 self.back.append((now + self.rng.uniform(0, self.late / 2), other, at, level))
-        received_paths, self.back = (
-            [b for b in self.back if b[0] <= now],
-            [b for b in self.back if b[0] > now],
-        )
-        for _, to, at, level in sorted(received_paths):
+        arrived = [b for b in self.back if b[0] <= now]
+        self.back = [b for b in self.back if b[0] > now]
+        for _, to, at, level in sorted(arrived):
             self.views[to][at] = level
 
 
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -69,10 +69,8 @@
         self.dispatcher.handle(
             now, received._replace(header=received.header._replace(client_timeout=0.0, received_at=now - 0.5))
         )
-        in_flight_request, controller_request = (
-            self.dispatcher.in_flight.by_id[f"{1:016x}"],
-            self.dispatcher.controller.requests[f"{1:016x}"],
-        )
+        in_flight_request = self.dispatcher.in_flight.by_id[f"{1:016x}"]
+        controller_request = self.dispatcher.controller.requests[f"{1:016x}"]
         timeout = self.dispatcher.classes[0].client_timeout
         for due in (in_flight_request.deadline, controller_request.deadline):
             self.assertAlmostEqual(due, now - 0.5 + timeout, places=3)
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -325,9 +325,8 @@
         ):
             with self.subTest(id=id_), self.assertRaisesRegex(StoreError, expected):
                 journal.correct(id_, Amounts(), who, why)
-        open_ = self.journal(
-            is_start=False
-        )  # a correction in an open period is exported once, when it closes
+        # A correction in an open period is exported once, when it closes.
+        open_ = self.journal(is_start=False)
         open_.append([usage(1040.0)])
         open_.correct("1.3", Amounts(run=1), "ann", "x")
         self.assertEqual(len(open_.close_periods(1060.0)), 1)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -722,10 +722,8 @@
         )
 
     def me_28(self) -> None:
-        one, new = (
-            self.dropped(state=State.COLD),
-            snapshot_of("x", incarnation=INCARNATION + 1, sequence=1, state=State.COLD),
-        )
+        one = self.dropped(state=State.COLD)
+        new = snapshot_of("x", incarnation=INCARNATION + 1, sequence=1, state=State.COLD)
         one.deliver(new)
         self.assertEqual(one.membership.known["x"].figures, new)
 
@@ -787,9 +785,8 @@
         one.membership.next_period_at = one.now
         one.advance()
         self.assertEqual(count_answers(SNAPSHOT_Y), (1, 99))
-        one.membership.synced = {
-            str(at) for at in range(controller.MAX_SYNC_ENTRIES // 2)
-        }  # two entries each
+        # Two entries each.
+        one.membership.synced = {str(at) for at in range(controller.MAX_SYNC_ENTRIES // 2)}
         self.assertEqual(count_answers(SNAPSHOT_X), (0, 100))
         one.membership.synced.remove("0")
         self.assertEqual(count_answers(SNAPSHOT_X), (1, 99))
@@ -891,10 +888,8 @@
         self.assertEqual(load_sketch.largest_loads(held)[1], Load("", 0, 0))
 
 
-KNOWN_NAMES, INCARNATIONS = (
-    st.sampled_from(["me", "x", "y", "z", "w"]),
-    st.integers(INCARNATION - 1, INCARNATION + 2),
-)
+KNOWN_NAMES = st.sampled_from(["me", "x", "y", "z", "w"])
+INCARNATIONS = st.integers(INCARNATION - 1, INCARNATION + 2)
 SNAPSHOTS = st.builds(
     lambda name, *more: Snapshot(name, name in "yw", *more),
     KNOWN_NAMES,
--- a/tests/test_migration.py
+++ b/tests/test_migration.py
@@ -413,11 +413,9 @@
             self.assertTrue(old.low < new.low and old.high > new.high and old.mid == new.mid)
 
     def mo_3(self) -> None:
-        figures, load, total = (
-            "rate of opened connections out of range",
-            "load of a tenant out of range",
-            "add up",
-        )
+        figures = "rate of opened connections out of range"
+        load = "load of a tenant out of range"
+        total = "add up"
         cases: tuple[tuple[str, dict[str, Any]], ...] = (
             (figures, {"connections": -1}), (figures, {"connections": 1 << 40}), (figures, {"room": -5}),
             (figures, {"opened": float("nan")}), (figures, {"opened": float("inf")}),
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -215,9 +215,8 @@
         self.end = lambda what, at: getattr(self, what).shutdown(socket.SHUT_WR)
         self.quit = lambda what, at: getattr(self, what).close()
         self.counted = lambda what, at: logs.counters[what]
-        self.stand = lambda what, at: self.relays.sweep(
-            self.relays.last_sweep_at + at
-        )  # this process was stalled
+        # This process was stalled.
+        self.stand = lambda what, at: self.relays.sweep(self.relays.last_sweep_at + at)
         self.dropped = lambda what, at: (
             1 << 20 <= self.relay.directions[0].discarded < (1 << 20) + WINDOW_BYTES
         )
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -453,9 +453,8 @@
             spent = Spent()
             os.kill(os.getpid(), signal.SIGTERM)
             await here.roster.until(lambda: here.roster.reports[-1][1] == "no")
-            late = (
-                await here.router()
-            )  # within the grace period: the listener is open and requests are admitted
+            # Within the grace period: the listener is open and requests are admitted.
+            late = await here.router()
             here.processor.end(here.processor.begun[0])
             self.assertIsNone((await busy.answer(numbers[0]))[0])
             number = await late.ask("look", b"y")
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -230,11 +230,9 @@
                 tasks.start_soon(connection.run)
                 await anyio.wait_all_tasks_blocked()
                 connection.open_requests = {number: f"{number}" for number in range(13)}
-                connection.has_sent_message, connection.incomplete_since, connection.notified_at = (
-                    True,
-                    float("inf"),
-                    0.0,
-                )
+                connection.has_sent_message = True
+                connection.incomplete_since = float("inf")
+                connection.notified_at = 0.0
                 for number in range(13):
                     connection.send(extensions.Answer(number, extensions.Verdict.FAILED))
                 self.assertFalse(server_listener._evict_connection())
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -35,9 +35,10 @@
 from thymeyoke.slow_start.retry_budget import RetryBudget
 
 PAGE = "docs/slow_start.md"
+# A fair rate of 4 calls a second.
 LIMITS = RateLimits(
     max_concurrency=32.0, guaranteed_concurrency=4.0, tick=0.004, latency_objective=1.0, client_timeout=4.0
-)  # a fair rate of 4 calls a second
+)
 HYPOTHESIS_SETTINGS = settings(derandomize=True, deadline=None, max_examples=150)
 OK, REJECTED, UNREACHABLE = Outcome.OK, Outcome.REJECTED, Outcome.UNREACHABLE
 
@@ -122,12 +123,10 @@
 
 def check_transition(case: unittest.TestCase, row: Row, state: State, event: Event) -> None:
     process = ProcessDriver().reach_state(state)
-    now, startup, limiter, was = (
-        process.now,
-        process.startup,
-        process.rate_limiter,
-        process.rate_limiter.usual_rate,
-    )
+    now = process.now
+    startup = process.startup
+    limiter = process.rate_limiter
+    was = process.rate_limiter.usual_rate
     triggers: dict[Event, Callable[[], Any]] = {Event.REPORT_SENT: lambda: startup.report_sent(now)}
     triggers[Event.RATE_CUT] = lambda: [startup.call_ended(now, f"c{at}", REJECTED, 0.01) for at in range(4)]
     triggers[Event.STALLED] = lambda: startup.stalled(now, ENTRY_TTL_SECONDS + 0.1)
@@ -239,10 +238,8 @@
         shares = []
         for at in range(60):
             process = ProcessDriver(f"n{at}")
-            budget, one = (
-                process.startup.budget,
-                process.reach_state(State.WARM).send_reports(6, took=0.6 * INTERVAL_SECONDS).heartbeat,
-            )
+            budget = process.startup.budget
+            one = process.reach_state(State.WARM).send_reports(6, took=0.6 * INTERVAL_SECONDS).heartbeat
             self.assertEqual(one.stretch, MAX_STRETCH)
             left = budget.available
             process.send_reports(2, False)
@@ -507,9 +504,8 @@
             self.assertEqual(await harness.outcomes(1), [("b", UNREACHABLE)])
             harness.client.send(messages.AddressChanged(harness.address))
             harness.close_limiter()
-            harness.client.next_sweep_at = (
-                time.time() + 60.0
-            )  # the client does not sweep by itself before this
+            # The client does not sweep by itself before this.
+            harness.client.next_sweep_at = time.time() + 60.0
             harness.client.startup.failed_calls.add(time.time(), "e")
             harness.start_calls("cde")
             await harness.wait_until(lambda: len(harness.client.backlog) == 3)
--- a/tests/test_unacknowledged.py
+++ b/tests/test_unacknowledged.py
@@ -29,10 +29,8 @@
         messages.ContinueWithoutCall("poorer"),
     )
     LOST_AT = 10.0
-    EARLY, LATE = (
-        LOST_AT - 1.1 * unacknowledged.POSSIBLY_LOST_SECONDS,
-        LOST_AT - 0.9 * unacknowledged.POSSIBLY_LOST_SECONDS,
-    )
+    EARLY = LOST_AT - 1.1 * unacknowledged.POSSIBLY_LOST_SECONDS
+    LATE = LOST_AT - 0.9 * unacknowledged.POSSIBLY_LOST_SECONDS
 
     def test_possibly_lost_commands(self) -> None:
         start, read_gauges, answered = self.START, self.READ_GAUGES, None  # None: a gauge reading is answered
--- a/thymeyoke/affinity/controller.py
+++ b/thymeyoke/affinity/controller.py
@@ -149,12 +149,10 @@
         self.margin = (
             max(MIN_MARGIN_SECONDS, DEFAULT_MARGIN_SHARE * idle_timeout) if margin is None else margin
         )
-        self.phase, self.first_view_at, self.leaving_since, self.handover_target = (
-            NodePhase.JOINING,
-            inf,
-            inf,
-            0,
-        )
+        self.phase = NodePhase.JOINING
+        self.first_view_at = inf
+        self.leaving_since = inf
+        self.handover_target = 0
         self.last_discovery_at = -inf  # when the view last showed a new member
         self.unanswered_seeds = 0  # seed addresses whose members the view may not know yet
         self.has_joined = False  # stays False in a node that leaves while it joins
@@ -404,10 +402,8 @@
     def _check_bindings(self, now: float) -> None:
         """Drop expired bindings, and renew those of connected clients in time."""
         if now >= self.next_check_at:
-            self.bindings_to_check, self.next_check_at = (
-                list(self.bindings),
-                now + CHECK_INTERVAL_TIMEOUTS * self.idle_timeout,
-            )
+            self.bindings_to_check = list(self.bindings)
+            self.next_check_at = now + CHECK_INTERVAL_TIMEOUTS * self.idle_timeout
             self.failed_connects = {
                 name: at for name, at in self.failed_connects.items() if self._failed_recently(now, name)
             }
@@ -963,11 +959,9 @@
                     taking_marks.add(record.mark)
         if len(late) + len(ripe) + len(taking_marks) > MAX_MARKS:
             self.counts["marks_full"] += 1
-            late, ripe, taking_marks = (
-                set(),
-                _smallest(ripe, MAX_MARKS // 2),
-                _smallest(taking_marks, MAX_MARKS // 2),
-            )
+            late = set()
+            ripe = _smallest(ripe, MAX_MARKS // 2)
+            taking_marks = _smallest(taking_marks, MAX_MARKS // 2)
         marks = StateMarks(frozenset(late), frozenset(ripe), frozenset(taking_marks))
         if marks != self.own_marks:
             self.own_marks = marks
--- a/thymeyoke/bgp/presentation.py
+++ b/thymeyoke/bgp/presentation.py
@@ -74,9 +74,8 @@
         """
         self.counters: Counter[str] = Counter()
         self.paths: dict[str, dict[PrefixKey, dict[int | None, OtherAdvertiser]]] = {}
-        self.stale: dict[
-            str, set[tuple[PrefixKey, int | None]]
-        ] = {}  # paths not sent again yet during a refresh (RFC 7313)
+        # Paths not sent again yet during a refresh (RFC 7313).
+        self.stale: dict[str, set[tuple[PrefixKey, int | None]]] = {}
         self.reconfigure(as_, own_identifiers, med, prefixes)
 
     def reconfigure(
--- a/thymeyoke/bgp/session.py
+++ b/thymeyoke/bgp/session.py
@@ -225,20 +225,22 @@
 
     def open(self) -> Open:
         """Build the OPEN message."""
-        told = [
+        capabilities = [
             Capability(CapabilityCode.MULTIPROTOCOL, f.afi.to_bytes(2, "big") + bytes((0, f.safi)))
             for f in self.families
         ]
-        told += [
+        capabilities += [
             Capability(code, b"") for code in (CapabilityCode.ROUTE_REFRESH, CapabilityCode.EXTENDED_MESSAGE)
         ]
-        told.append(Capability(CapabilityCode.AS4, self.as_.to_bytes(4, "big")))
+        capabilities.append(Capability(CapabilityCode.AS4, self.as_.to_bytes(4, "big")))
         receive = b"".join(f.afi.to_bytes(2, "big") + bytes((f.safi, 1)) for f in self.families)
-        told += [
+        capabilities += [
             Capability(CapabilityCode.ADD_PATH, receive),
             Capability(CapabilityCode.ENHANCED_REFRESH, b""),
         ]
-        return Open(self.as_ if self.as_ <= 0xFFFF else wire.AS_TRANS, self.hold, self.id, tuple(told))
+        return Open(
+            self.as_ if self.as_ <= 0xFFFF else wire.AS_TRANS, self.hold, self.id, tuple(capabilities)
+        )
 
     def check(self, peer_open: Open) -> None:
         """Check the peer's OPEN (RFC 4271 section 6.2); raises `ProtocolError`.
--- a/thymeyoke/bgp/wire.py
+++ b/thymeyoke/bgp/wire.py
@@ -467,10 +467,8 @@
     at = 4 + withdrawn_size
     attributes, trailing_bytes = _decode_attributes(body[at : at + size])
     has_path_ids = IPV4 in negotiated.add_path_families
-    withdrawn, nlri = (
-        decode_prefixes(body[2 : 2 + withdrawn_size], 4, has_path_ids),
-        decode_prefixes(body[at + size :], 4, has_path_ids),
-    )
+    withdrawn = decode_prefixes(body[2 : 2 + withdrawn_size], 4, has_path_ids)
+    nlri = decode_prefixes(body[at + size :], 4, has_path_ids)
     return Update(withdrawn, attributes, nlri, trailing_bytes)
 
 
--- a/thymeyoke/membership/configuration.py
+++ b/thymeyoke/membership/configuration.py
@@ -17,9 +17,8 @@
     address: Annotated[HostPort, Meta(description=HOST_PORT_DESCRIPTION)]
     others: Annotated[tuple[HostPort, ...], Meta(max_length=1024, description=(
         "IP addresses and ports, separated by commas, as 192.0.2.9:6001, 192.0.2.10:6001"))] = ()  # fmt: skip
-    advertise: Annotated[HostPort | None, Meta(description=HOST_PORT_DESCRIPTION)] = (
-        None  # address at which other members reach this process, if not `address`
-    )
+    # Address at which other members reach this process, if not `address`.
+    advertise: Annotated[HostPort | None, Meta(description=HOST_PORT_DESCRIPTION)] = None
     period: PeriodSeconds = 1.0
     fleet: Annotated[str, Meta(min_length=1, max_length=64, description="1 to 64 characters")] = "thymeyoke"
     key: Annotated[str, Meta(min_length=1, max_length=64, description="1 to 64 characters")] = ""
--- a/thymeyoke/membership/controller.py
+++ b/thymeyoke/membership/controller.py
@@ -797,10 +797,8 @@
         if layers & SnapshotLayer.PARTS:
             snapshot = snapshot._replace(parts=self.own.parts)
         sender = Announcement(snapshot, max(0.0, self.now - self.announced_at), layers)
-        announcements, uptime = (
-            tuple(item.announcement for item in items),
-            max(0.0, self.now - self.started_at),
-        )
+        announcements = tuple(item.announcement for item in items)
+        uptime = max(0.0, self.now - self.started_at)
         self.outbox.append(
             Send(address, Message(kind, sender, uptime, number, subject, announcements, tuple(accusations)))
         )
--- a/thymeyoke/membership/load_sketch.py
+++ b/thymeyoke/membership/load_sketch.py
@@ -83,13 +83,13 @@
 
 
 def largest_loads(
-    held: Iterable[tuple[str, int, float]], most: int = MAX_LOADS
+    counts: Iterable[tuple[str, int, float]], most: int = MAX_LOADS
 ) -> tuple[tuple[Load, ...], Load]:
     """The largest loads of exactly counted ones, and the sum of all others.
 
-    `held`: (name, connections, connections opened a second) of each tenant.
+    `counts`: (name, connections, connections opened a second) of each tenant.
     """
-    rows = [Load(*row) for row in held]
+    rows = [Load(*row) for row in counts]
     selected = nlargest(most, rows, key=lambda load: (load.connections, load.opened, load.tenant))
     names = {load.tenant for load in selected}
     others = [load for load in rows if load.tenant not in names]
--- a/thymeyoke/membership/wire.py
+++ b/thymeyoke/membership/wire.py
@@ -318,9 +318,9 @@
     return Announcement(snapshot, said.age, layers)
 
 
-def _accusations_from_wire(heard: tuple[_WireAccusation, ...]) -> Iterator[Accusation]:
+def _accusations_from_wire(accusations: tuple[_WireAccusation, ...]) -> Iterator[Accusation]:
     """Convert accusations; unknown verdicts of later versions are left out."""
-    for one in heard:
+    for one in accusations:
         if one.verdict in Verdict._value2member_map_ and len(one.by) <= MAX_NAME_LENGTH:
             yield Accusation(one.name, one.incarnation, one.epoch, Verdict(one.verdict), one.by)
 
--- a/thymeyoke/migration/configuration.py
+++ b/thymeyoke/migration/configuration.py
@@ -48,28 +48,27 @@
     for section in file.sections:
         if section.startswith("moves."):
             raise file.error(section, None, "no such section; give [moves] alone")
-    made = file.read_section("moves", Moves, **_around(file))
-    if made.act not in ACTS:
-        raise file.error("moves", "act", f"{made.act!r} can't be used; give one of {', '.join(ACTS)}")
+    settings = file.read_section("moves", Moves, **_related_settings(file))
+    if settings.act not in ACTS:
+        raise file.error("moves", "act", f"{settings.act!r} can't be used; give one of {', '.join(ACTS)}")
     if "node" not in file.sections:
         raise file.error("moves", None, "is for a node; add a section [node]")
-    return made
+    return settings
 
 
-def _around(raw: ConfigFile) -> dict[str, float]:
+def _related_settings(raw: ConfigFile) -> dict[str, float]:
     """Settings of other sections that bound the duration of a move.
 
     They determine how fast announcements spread and how long an address takes to come up; the minimum
     timeouts of a move follow from them, so that no `settle` is too short.
     """
-    found = {}
+    related = {}
     if "members" in raw.sections:
-        found["period"] = members.read_settings(raw).period
+        related["period"] = members.read_settings(raw).period
     if "announce" in raw.sections:
-        from thymeyoke.bgp.configuration import read_settings as announced
+        from thymeyoke.bgp.configuration import read_settings as read_announce
 
-        told = announced(raw)
-        found["rise"] = (
-            told.settle + MINUTE / told.changes
-        )  # it is depreferred first, and its budget of changes may be used up
-    return found
+        announce = read_announce(raw)
+        # It is depreferred first, and its budget of changes may be used up.
+        related["rise"] = announce.settle + MINUTE / announce.changes
+    return related
--- a/thymeyoke/migration/controller.py
+++ b/thymeyoke/migration/controller.py
@@ -196,9 +196,8 @@
         self.stamp = 0  # 0 by configuration; after a move, one more than that of the former holder
         self.highest_stamp = 0  # highest stamp seen for this home
         self.successor, self.successor_incarnation = "", 0  # the holder to which this node has yielded
-        self.arrived_by: tuple[str, int, int] | None = (
-            None  # the request that brought it: source, incarnation, number
-        )
+        # The request that brought it: source, incarnation, number.
+        self.arrived_by: tuple[str, int, int] | None = None
         self.is_arriving = False  # that move is not over yet
         self.unheld_since = NEVER  # since when no node holds it
         self.offered_to = ""  # the target of the last request
@@ -229,19 +228,16 @@
         self.own_name, self.terms, self.counts = own_name, terms, Counter[str]()
         self.eligible, self.configured = eligible, holds
         self.tenant_states = {one: self._new_tenant_state(now, one) for one in sorted(eligible)}
-        self.announced_levels = {
-            tenant: one.level for tenant, one in self.tenant_states.items()
-        }  # as reported by the last `advance`
+        # As reported by the last `advance`.
+        self.announced_levels = {tenant: one.level for tenant, one in self.tenant_states.items()}
         self.filter_bits = TenantFilter.build(eligible).bits
         self.view: View | None = None
         self.incarnation: int | None = None
-        self.received_parts: dict[
-            str, tuple[bytes, MigrationPart | None]
-        ] = {}  # by node: encoded and decoded
+        # By node: encoded and decoded.
+        self.received_parts: dict[str, tuple[bytes, MigrationPart | None]] = {}
         self.announcements: dict[str, NodeAnnouncement] = {}
-        self.holders: dict[
-            str, list[Member]
-        ] = {}  # by eligible tenant: other nodes that hold it and are staying
+        # By eligible tenant: other nodes that hold it and are staying.
+        self.holders: dict[str, list[Member]] = {}
         self.known_nodes, self.voter = KnownNodes(), Voter(now)
         self.loads = Loads((), {}, load_ranges.NOTHING, 0.0)
         self.plan, self.planned_at, self.planned_version = Plan(), -NEVER, -1
@@ -252,9 +248,8 @@
         self.last_number = 0
         self.cool_down_until = self.next_request_at = now
         self.overloaded_since = NEVER  # since when this node is over its bound and a move would help
-        self.refusals: dict[
-            tuple[str, int], str
-        ] = {}  # open requests without this node's vote, by source and number
+        # Open requests without this node's vote, by source and number.
+        self.refusals: dict[tuple[str, int], str] = {}
         self.first_seen: dict[str, float] = {}  # by node of the view
         self.rejected_claims: set[tuple[str, str]] = set()  # tenants and nodes whose claims are not believed
         self.next_yield_at = now  # next time to yield to an unverifiable claim
@@ -293,7 +288,7 @@
     def observe(self, now: float, view: View) -> None:
         """Take in a new view of the fleet."""
         self.view = view
-        young, news = self._young_seconds(), quorum.begin_timeout(self.terms)
+        young, begin_timeout = self._young_seconds(), quorum.begin_timeout(self.terms)
         before, self.first_seen = self.first_seen, {}
         parts, self.announcements, self.holders = {}, {}, {}
         for member in view.nodes():
@@ -306,9 +301,8 @@
                 if member.is_present or member.name in before:
                     self.first_seen[member.name] = before.get(member.name, now)
                 if _is_staying(member):
-                    is_new = (
-                        now < self.first_seen[member.name] + news
-                    )  # the first snapshot has no held tenants
+                    # The first snapshot has no held tenants.
+                    is_new = now < self.first_seen[member.name] + begin_timeout
                     for tenant in self.eligible.intersection(member.snapshot.holds):
                         self.holders.setdefault(tenant, []).append(member)
                         tenant_state = self.tenant_states[tenant]
@@ -459,11 +453,9 @@
             if same and not listed:
                 gone = False  # it is leaving and has given up the move
             if (begun or gone) and tenant_state.level == Level.WITHDRAWN:
-                tenant_state.home, tenant_state.stamp, tenant_state.highest_stamp = (
-                    request.home,
-                    request.stamp,
-                    request.stamp,
-                )
+                tenant_state.home = request.home
+                tenant_state.stamp = request.stamp
+                tenant_state.highest_stamp = request.stamp
                 tenant_state.arrived_by, tenant_state.is_arriving, tenant_state.successor = came, True, ""
                 self._set_level(now, tenant_state, Level.PREFERRED)
                 self.counts["moves_arrived" if begun else "moves_taken_over"] += 1
@@ -568,13 +560,13 @@
         """Whether the target announces that it holds the tenant through this move.
 
         `holds` in its snapshot is not enough: it may be older and refer to an earlier time at which the
-        target held the tenant.
+        target held_tenants the tenant.
         """
         announcement = self.announcements.get(request.target)
-        held = announcement.part.held_tenants if announcement else ()
+        held_tenants = announcement.part.held_tenants if announcement else ()
         return any(
             (one.tenant, one.home) == (request.tenant, request.home) and one.stamp >= request.stamp
-            for one in held
+            for one in held_tenants
         )
 
     def _is_busy(self, name: str) -> bool:
@@ -636,11 +628,9 @@
         state = TRANSITIONS.get((record.state, event))
         if state is None:
             return
-        settle, tenant_state, request = (
-            self.terms.settle,
-            self.tenant_states.get(record.step.tenant),
-            record.request,
-        )
+        settle = self.terms.settle
+        tenant_state = self.tenant_states.get(record.step.tenant)
+        request = record.request
         if record.state == State.PROPOSED and request and state == State.EXPIRED:
             self.dropped_numbers.append(request.number)
             self.next_request_at = now + STABLE_OVERLOAD_SHARE * settle * (
@@ -660,11 +650,9 @@
             and (level := LEVEL_BY_STATE.get(state)) is not None
         ):
             if state == State.SETTLING:
-                tenant_state.successor, tenant_state.successor_incarnation, tenant_state.highest_stamp = (
-                    request.target,
-                    record.target_incarnation,
-                    request.stamp,
-                )
+                tenant_state.successor = request.target
+                tenant_state.successor_incarnation = record.target_incarnation
+                tenant_state.highest_stamp = request.stamp
             if state == State.KEPT:
                 self.hold_downs.pop(request.tenant, None)
             if state == State.UNDONE:
@@ -727,8 +715,8 @@
             self._set_level(now, tenant_state, Level.DEPREFERRED)
             self.hold_downs.pop(tenant, None)
             self.counts["moves_made_way"] += 1
-        if news := self.rejected_claims - before:
-            self.counts["moves_not_believed"] += len(news)
+        if new_claims := self.rejected_claims - before:
+            self.counts["moves_not_believed"] += len(new_claims)
 
     def _young_seconds(self) -> float:
         """Seconds for which a tenant's state is young.
@@ -873,9 +861,8 @@
                     busy |= {name, request.target}
                     moving_tenants.add(request.tenant)
             barred_pairs |= wire.pair_hashes(one.part.barred_pairs)
-        same = {
-            one.part.eligible: TenantFilter(one.part.eligible) for one in self.announcements.values()
-        }  # nodes mostly have equal filters
+        # Nodes mostly have equal filters.
+        same = {one.part.eligible: TenantFilter(one.part.eligible) for one in self.announcements.values()}
         takes: dict[str, TenantFilter] = {
             name: same[one.part.eligible] for name, one in self.announcements.items()
         }
@@ -937,11 +924,9 @@
                 max(tenant_state.stamp, tenant_state.highest_stamp) + 1,
                 gain=max(0.0, step.gain),
             )
-            record.request, record.incarnation, record.target_incarnation = (
-                request,
-                self.incarnation,
-                target.incarnation,
-            )
+            record.request = request
+            record.incarnation = self.incarnation
+            record.target_incarnation = target.incarnation
             record.expires_at = now + quorum.request_timeout(self.terms)
             record.deadline = now + quorum.max_duration(self.terms)
             if wire.fits(self._own_part(now)):
@@ -994,10 +979,8 @@
             self.hold_downs[tenant] = HoldDown(other, there.snapshot.incarnation if there else 0, now)
 
     def _update_hold_downs(self, now: float) -> None:
-        mine, by = (
-            self.loads.node(self.own_name),
-            LOAD_CHANGE_SHARE * (self.terms.uneven - 1) * self.loads.mean.mid,
-        )
+        mine = self.loads.node(self.own_name)
+        by = LOAD_CHANGE_SHARE * (self.terms.uneven - 1) * self.loads.mean.mid
         for tenant, hold_down in list(self.hold_downs.items()):
             theirs, there = self.loads.node(hold_down.other), self._member(hold_down.other)
             another = (
@@ -1091,11 +1074,11 @@
     def recommendations(self, now: float) -> list[Recommendation]:
         """The open recommendations of all nodes, then the completed ones known to this node, newest first."""
         result = [self._to_recommendation(now, one) for one in self.records.values()]
-        told = {(one.tenant, one.source, one.target) for one in result if one.state != State.PROPOSED}
+        known_keys = {(one.tenant, one.source, one.target) for one in result if one.state != State.PROPOSED}
         for name, one in sorted(self.announcements.items()):
             for request in one.part.requests if name != self.own_name else ():
                 key = (request.tenant, name, request.target)
-                if not request.begun or key in told:
+                if not request.begun or key in known_keys:
                     continue
                 state = State.SETTLING if request.settling else State.BEGUN
                 result = [it for it in result if (it.tenant, it.source, it.target) != key]
--- a/thymeyoke/migration/planner.py
+++ b/thymeyoke/migration/planner.py
@@ -345,9 +345,8 @@
         self.problem, self.left = problem, steps
         lows = [[tenant.load.low for tenant, _ in one.tenants] for one in problem.sources]
         self.least = [_min_moves(one.need, its) for one, its in zip(problem.sources, lows, strict=True)]
-        self.after = [
-            sum(self.least[at + 1 :]) for at in range(len(lows))
-        ]  # minimum moves of the later sources
+        # Minimum moves of the later sources.
+        self.after = [sum(self.least[at + 1 :]) for at in range(len(lows))]
         self.sums = [_prefix_sums(its) for its in lows]
         self.chosen: list[Choice] = []
 
@@ -466,11 +465,11 @@
         gap[step.target] -= step.load.high
         room[step.target] -= step.connections
     free = sum(max(0.0, min(gap[name], room[name])) for name in gap)
-    told = {one.node for one in splits}
+    split_sources = {one.node for one in splits}
     found = []
     for source in problem.sources:
         over = source.need - off.get(source.name, 0.0)
-        if over <= 0 or (source.name in told and not source.tenants):
+        if over <= 0 or (source.name in split_sources and not source.tenants):
             continue
         lacks = max(0.0, over - free)
         why = (
--- a/thymeyoke/migration/presentation.py
+++ b/thymeyoke/migration/presentation.py
@@ -80,48 +80,48 @@
     }
 
 
-def tables(told: dict[str, Any]) -> list[list[list[str]]]:
+def tables(status: dict[str, Any]) -> list[list[list[str]]]:
     """Tables for display: nodes, recommendations and advice.
 
     The first row of each has the titles; empty tables are left out.
     """
     nodes = [["NODE", "LOAD", "OF MEAN", "ROOM", "TENANTS"]]
-    for one in told["nodes"]:
+    for one in status["nodes"]:
         spread = f" ({one['least']:.0f} to {one['most']:.0f})" if one["most"] - one["least"] >= 1 else ""
         nodes.append([
             one["node"], f"{one['load']:.0f}{spread}", f"{one['of_mean']:.2f}", str(one["room"]),
             str(one["tenants"]),
         ])  # fmt: skip
-    nodes += [[name, f"not known: {why}", "-", "-", "-"] for name, why in sorted(told["unknown"].items())]
-    moves = [["TENANT", "FROM", "TO", "STATE", "FOR", "GAIN", "COST", "WHY"]]
-    for one in told["recommendations"]:
-        moves.append([
+    nodes += [[name, f"not known: {why}", "-", "-", "-"] for name, why in sorted(status["unknown"].items())]
+    recommendations = [["TENANT", "FROM", "TO", "STATE", "FOR", "GAIN", "COST", "WHY"]]
+    for one in status["recommendations"]:
+        recommendations.append([
             one["tenant"], one["from"], one["to"], one["state"], span(one["for"]), f"{one['gain']:.0f}",
             f"{one['cost']:.0f}", one["why"],
         ])  # fmt: skip
     advice = [["NODE", "TENANT", "WHAT", "WHY"]]
-    words = {"split": "split it", "room": "no room"}
-    advice += [[one["node"], one["tenant"] or "-", words.get(one["kind"], one["kind"]), one["why"]]
-               for one in told["advice"]]  # fmt: skip
-    return [rows for rows in (nodes, moves, advice) if len(rows) > 1]
+    kind_texts = {"split": "split it", "room": "no room"}
+    advice += [[one["node"], one["tenant"] or "-", kind_texts.get(one["kind"], one["kind"]), one["why"]]
+               for one in status["advice"]]  # fmt: skip
+    return [rows for rows in (nodes, recommendations, advice) if len(rows) > 1]
 
 
-def lines(told: dict[str, Any]) -> list[str]:
+def lines(status: dict[str, Any]) -> list[str]:
     """The lines above the tables: settings, and the present imbalance."""
-    budget = told["budget"]
-    told_act = "moves tenants" if told["act"] == "move" else "recommends, and moves nothing"
+    budget = status["budget"]
+    activity = "moves tenants" if status["act"] == "move" else "recommends, and moves nothing"
     votes = f", votes in {span(budget['votes_in'])}" if budget["votes_in"] else ""
     rests = f", rests for {span(budget['rests'])}" if budget["rests"] else ""
-    made = [
-        f"{told['node']} {told_act}; {budget['at_once']} at once, a slot rests {budget['spacing']:g} s, "
+    result = [
+        f"{status['node']} {activity}; {budget['at_once']} at once, a slot rests {budget['spacing']:g} s, "
         f"{budget['majority']} of {budget['nodes']} nodes must agree{votes}{rests}"
     ]
-    if told["nodes"]:
-        made.append(
-            f"the most loaded node has {told['uneven']:.2f} of the mean {told['mean']:.0f}, bound "
-            f"{told['bound']:.0f}; {told['uneven_after']:.2f} after these moves"
+    if status["nodes"]:
+        result.append(
+            f"the most loaded node has {status['uneven']:.2f} of the mean {status['mean']:.0f}, bound "
+            f"{status['bound']:.0f}; {status['uneven_after']:.2f} after these moves"
         )
-    return made
+    return result
 
 
 def span(seconds: float) -> str:
--- a/thymeyoke/migration/wire.py
+++ b/thymeyoke/migration/wire.py
@@ -71,9 +71,8 @@
     moves: bool = msgspec.field(name="m", default=False)  # whether the operators permit migrations
     at_once: Annotated[int, Meta(ge=1, le=1 << 16)] = msgspec.field(name="a", default=1)
     max_duration: Seconds = msgspec.field(name="l", default=0.0)  # longest possible migration of this node
-    known_node_count: Annotated[int, Meta(ge=0, le=1 << 16)] = msgspec.field(
-        name="k", default=0
-    )  # including dead ones
+    # Including dead ones.
+    known_node_count: Annotated[int, Meta(ge=0, le=1 << 16)] = msgspec.field(name="k", default=0)
     resting: Seconds = msgspec.field(name="r", default=0.0)  # remaining seconds of its cool-down
     eligible: Annotated[bytes, Meta(max_length=MAX_FILTER_BYTES)] = msgspec.field(name="c", default=b"")
     requests: tuple[MoveRequest, ...] = msgspec.field(name="s", default=())
@@ -122,8 +121,8 @@
     """
     data = _encoder.encode(part)
     if (over := len(data) - MAX_PART_BYTES) > 0 and part.barred_pairs:
-        kept = max(0, len(part.barred_pairs) - over) // PAIR_BYTES * PAIR_BYTES
-        part = msgspec.structs.replace(part, barred_pairs=part.barred_pairs[:kept])
+        kept_bytes = max(0, len(part.barred_pairs) - over) // PAIR_BYTES * PAIR_BYTES
+        part = msgspec.structs.replace(part, barred_pairs=part.barred_pairs[:kept_bytes])
         data = _encoder.encode(part)
     while len(data) > MAX_PART_BYTES and part.held_tenants:
         part = msgspec.structs.replace(part, held_tenants=part.held_tenants[: len(part.held_tenants) // 2])
@@ -160,11 +159,11 @@
     @classmethod
     def build(cls, tenants: frozenset[str]) -> TenantFilter:
         """Build the filter of a set of tenants."""
-        many = min(MAX_FILTER_BYTES, ceil(len(tenants) * FILTER_BITS_PER_TENANT / 8))
-        bits = bytearray(many)
+        size = min(MAX_FILTER_BYTES, ceil(len(tenants) * FILTER_BITS_PER_TENANT / 8))
+        bits = bytearray(size)
         for tenant in tenants:
-            for place in _bit_positions(tenant, many * 8):
-                bits[place >> 3] |= 1 << (place & 7)
+            for position in _bit_positions(tenant, size * 8):
+                bits[position >> 3] |= 1 << (position & 7)
         return cls(bytes(bits))
 
     def __contains__(self, tenant: str) -> bool:
--- a/thymeyoke/proxy/client_session.py
+++ b/thymeyoke/proxy/client_session.py
@@ -31,18 +31,20 @@
 from thymeyoke.runtime import logs
 from thymeyoke.runtime.clock import clock
 
+# Reasons to wait that concern all sessions.
 SHARED_WAIT_REASONS = (
     AssignmentReason.JOINING,
     AssignmentReason.NO_SERVER,
-)  # reasons to wait that concern all sessions
+)
 RESET = select.POLLERR | select.POLLHUP
+# Errors of this machine.
 LOCAL_ERRORS = (
     errno.EMFILE,
     errno.ENFILE,
     errno.ENOBUFS,
     errno.ENOMEM,
     errno.EADDRNOTAVAIL,
-)  # errors of this machine
+)
 
 # Counters of connections closed without a run, by state and event.
 CLOSE_COUNTERS = {
@@ -118,9 +120,8 @@
         self.queue_at = float("inf")
         self.has_news = False  # assignments may have changed
         self.has_changes = False  # the affinity table was changed since its last run
-        self.assignment_timeout = max(
-            QUEUE_TIMEOUT_SECONDS, JOIN_TIMEOUT_MARGINS * affinity.margin
-        )  # seconds that an admitted session waits for its assignment
+        # Seconds that an admitted session waits for its assignment.
+        self.assignment_timeout = max(QUEUE_TIMEOUT_SECONDS, JOIN_TIMEOUT_MARGINS * affinity.margin)
         self.handlers: dict[Do, Callable[[float, ClientSession], None]] = {
             Do.ASK_PLACE: self._ask_place, Do.ASK_SEAT: self._ask_seat, Do.ASK_CONNECT: self._ask_connect,
             Do.ASK_NEXT: self._ask_next, Do.PASS: self._pass, Do.GIVE_BACK: self._give_back,
@@ -185,9 +186,8 @@
         now, error = clock(), session.upstream.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         address = self.addresses.get(session.server)
         if not error and address and session.upstream.getsockname()[:2] == address.address:
-            error = (
-                errno.ECONNREFUSED
-            )  # a self-connect: nothing listens there, and the local port happens to be the same
+            # A self-connect: nothing listens there, and the local port happens to be the same.
+            error = errno.ECONNREFUSED
         if error:
             return self._connect_failed(now, session, error)
         self.connector.connected(now, session.number)
@@ -366,10 +366,10 @@
     def _retry_assignments(self, now: float) -> None:
         """Repeat assignments that are due, or all if the affinity table has new information."""
         if self.queue and (self.has_news or now >= self.queue_at):
-            waits, self.queue, self.queue_at = self.queue, deque(), float("inf")
-            while waits and not self.queue:  # until one has to wait again
-                self._retry_assignment(now, waits.popleft())
-            self.queue.extend(waits)
+            waiting, self.queue, self.queue_at = self.queue, deque(), float("inf")
+            while waiting and not self.queue:  # until one has to wait again
+                self._retry_assignment(now, waiting.popleft())
+            self.queue.extend(waiting)
         self.has_news = False
         while self.retry_heap and self.retry_heap[0][0] <= now:
             if (session := self.open_sessions.get(heappop(self.retry_heap)[1])) is not None:
--- a/thymeyoke/proxy/migration_adapter.py
+++ b/thymeyoke/proxy/migration_adapter.py
@@ -48,10 +48,8 @@
 
         terms = settings.terms
         if self.coordinator is None:
-            self.coordinator, self.lowered_levels = (
-                MigrationCoordinator(now, self.own_name, terms, eligible, configured),
-                dict.fromkeys(eligible - configured, "withdrawn"),
-            )
+            self.coordinator = MigrationCoordinator(now, self.own_name, terms, eligible, configured)
+            self.lowered_levels = dict.fromkeys(eligible - configured, "withdrawn")
         else:
             for tenant in eligible - configured - self.coordinator.eligible:
                 self.lowered_levels[tenant] = "withdrawn"
@@ -72,10 +70,8 @@
             frozenset(self.configured) if self.coordinator is None else self.coordinator.holds - self.rising
         )
         order = sorted(held, key=lambda one: (one not in self.announced, one not in self.configured, one))
-        self.announced, self.unannounced = (
-            frozenset(order[:MAX_HELD_TENANTS]),
-            frozenset(order[MAX_HELD_TENANTS:]),
-        )
+        self.announced = frozenset(order[:MAX_HELD_TENANTS])
+        self.unannounced = frozenset(order[MAX_HELD_TENANTS:])
         return tuple(sorted(self.announced))
 
     @property
--- a/thymeyoke/proxy/process.py
+++ b/thymeyoke/proxy/process.py
@@ -47,10 +47,9 @@
 BINDINGS_PER_CONNECTION = 32  # maximum bindings per connection of the table
 MIN_AFFINITY_INTERVAL_SECONDS = 0.005  # minimum seconds between two runs of the affinity table
 MAX_AFFINITY_DELAY_SECONDS = 0.05  # maximum delay after a change
-LISTENER_GRACE_SHARE, MIN_LISTENER_GRACE_SECONDS = (
-    1 / 8,
-    1.0,
-)  # of the idle timeout; how long a drain accepts connections
+# Of the idle timeout; how long a drain accepts connections
+LISTENER_GRACE_SHARE = 1 / 8
+MIN_LISTENER_GRACE_SECONDS = 1.0
 MIN_DRAIN_SECONDS = 5.0  # minimum seconds for open connections after that, else the idle timeout
 FAREWELL_TIMEOUT_SECONDS = 0.5  # seconds for sending the last messages
 RESTART_BACKOFF_SECONDS = 0.1  # seconds until the loop continues after an error
@@ -271,13 +270,13 @@
     def _receive_affinity(self, sender: str, body: bytes) -> None:
         """Handle an affinity message of another node; an invalid one is dropped."""
         try:
-            said = affinity_wire.decode(body)
+            message = affinity_wire.decode(body)
         except affinity_wire.InvalidMessageError as error:
             logs.counters["node_bad_seats"] += 1
             return logs.log_peer_fault("affinity_message_invalid", member=sender, reason=error)
         now = clock()
         self._detect_stall(now)
-        self.affinity.receive(now, sender, said)
+        self.affinity.receive(now, sender, message)
         self.next_affinity_at = min(self.next_affinity_at, now + MIN_AFFINITY_INTERVAL_SECONDS)
         self.sessions.has_news = True
 
@@ -452,10 +451,10 @@
         figures = self.sessions.rates.update(now, counted)
         state = State.LEAVING if self.is_draining else State.SERVING if self.has_joined else State.COLD
         room = 0 if self.is_draining or self.migration.full else max(0, table.max_connections - table.held)
-        holds, untold = self.migration.holds(), len(self.migration.unannounced)
-        if untold and not logs.gauges.get("node_tenants_untold"):
-            logs.log_event(logging.WARNING, "tenants_over_limit", told=len(holds), untold=untold)
-        logs.gauges["node_tenants_untold"] = untold
+        holds, unannounced_count = self.migration.holds(), len(self.migration.unannounced)
+        if unannounced_count and not logs.gauges.get("node_tenants_untold"):
+            logs.log_event(logging.WARNING, "tenants_over_limit", told=len(holds), untold=unannounced_count)
+        logs.gauges["node_tenants_untold"] = unannounced_count
         self.membership.announce(
             state=state, connections=figures.connections, opened=figures.opened, room=room,
             loads=figures.loads, rest=figures.rest, holds=holds, parts=self.migration.parts(now),
